--- a/src/adaptive.router/adaptive.cpp
+++ b/src/adaptive.router/adaptive.cpp
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Least expected completion time among two random choices, or the upstream
-/// that holds the session's cache as long as it is not over its bounded load.
-/// Two choices instead of all: many daemons that read the same late report
-/// would otherwise all run to the same upstream.
+/// Chooses the lower expected completion time of two random candidates, or the upstream
+/// that caches the session while that upstream is within its load bound.  Two candidates
+/// instead of all, since many daemons that read the same outdated report would otherwise
+/// all choose the same upstream.
 
 #include <cypressford/registry.h>
 #include <cypressford/router.h>
@@ -17,12 +17,12 @@
 
 namespace {
 
-// Bounded-load factor: an upstream keeps its sessions up to this multiple of
-// the average load (Mirrokni et al., "Consistent Hashing with Bounded Loads").
+// Load bound: an upstream keeps its sessions up to this multiple of the average load
+// (Mirrokni et al., "Consistent Hashing with Bounded Loads").
 constexpr double kBoundedLoad = 1.25;
-// A call into another hall must be worth this much expected time.
+// Factor on the expected time of a call into another hall.
 constexpr double kRemotePenalty = 1.5;
-// Stands in for the latency of an upstream that has not answered yet.
+// Latency (us) assumed for an upstream that has not answered yet.
 constexpr double kUnknownLatency = 1000;
 
 double
--- a/src/include/cypressford/hall_limit.h
+++ b/src/include/cypressford/hall_limit.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// In which halls a request may be worked on.
+/// Halls in which a request may be processed.
 
 #pragma once
 
@@ -14,12 +14,12 @@
 
 namespace cypressford {
 
-/// All halls, or a list of them that may be empty.
+/// Either all halls, or a list of halls that may be empty.
 class HallLimit {
 public:
     /// All halls.
     HallLimit() = default;
-    /// These only.
+    /// Only these halls.
     explicit HallLimit(std::vector<std::string> halls)
         : m_is_set(true)
         , m_halls(std::move(halls))
@@ -34,7 +34,7 @@
         return !m_is_set || std::binary_search(m_halls.begin(), m_halls.end(), hall);
     }
 
-    /// What both allow.
+    /// Intersection: halls that both limits allow.
     HallLimit operator&(const HallLimit& other) const
     {
         if (!m_is_set || !other.m_is_set)
--- a/src/include/cypressford/registry.h
+++ b/src/include/cypressford/registry.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Plug-ins register themselves by name; the kernel makes them by the name in
-/// settings or bundle and never lists them itself.
+/// Plug-ins register themselves by name.  The kernel creates them by the name given in
+/// settings or bundle and has no list of them itself.
 
 #pragma once
 
@@ -21,7 +21,7 @@
 public:
     using Factory = std::function<std::unique_ptr<Interface>()>;
 
-    /// The one registry of this interface.
+    /// The single registry of this interface.
     static Registry& instance()
     {
         static Registry registry;
@@ -33,7 +33,7 @@
         m_factories[std::move(name)] = std::move(factory);
     }
 
-    /// A new plug-in, or null if there is none of that name.
+    /// Creates a plug-in; null if no plug-in of that name is registered.
     std::unique_ptr<Interface> make(std::string_view name) const
     {
         auto it = m_factories.find(std::string(name));
--- a/src/leastinflight.router/leastinflight.cpp
+++ b/src/leastinflight.router/leastinflight.cpp
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The upstream with the fewest of our own calls.  A baseline.
+/// Chooses the upstream with the fewest calls of this daemon in flight.  Baseline for
+/// comparisons.
 
 #include <cypressford/registry.h>
 #include <cypressford/router.h>
@@ -16,7 +17,8 @@
     std::size_t pick(std::span<const Candidate> candidates,
                      const RouteContext& context) const override
     {
-        // Start at a random place, so that ties do not all fall to the first.
+        // Start at a random position, so that ties are not always won by the first
+        // candidate.
         const std::size_t start = context.random % candidates.size();
         std::size_t best = start;
         for (std::size_t i = 1; i < candidates.size(); ++i) {
--- a/src/libcypressford/hall_limit_test.cpp
+++ b/src/libcypressford/hall_limit_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Regions that pipelines and client accounts are bound to.
+/// Limits of pipelines and client accounts to regions.
 
 #include <doctest/doctest.h>
 
@@ -16,7 +16,7 @@
 namespace cypressford {
 namespace {
 
-TEST_CASE("a limit allows its halls, none that it does not name, and all if it is not set")
+TEST_CASE("a limit allows only the halls that it lists, and all halls if it is not set")
 {
     const HallLimit all;
     const HallLimit some({"b", "a"});
@@ -32,7 +32,7 @@
     CHECK_FALSE((all & all).is_set());
 }
 
-TEST_CASE("limits travel with orders and questions, an empty one as well")
+TEST_CASE("limits, also empty ones, survive encoding in piece orders and placement queries")
 {
     PieceOrder order;
     order.upstream_set = "set";
@@ -46,7 +46,7 @@
     CHECK_FALSE(again->prompt.halls.allows("a"));
 }
 
-TEST_CASE("a request goes to its regions only, a second attempt too")
+TEST_CASE("a request and its retries are sent to allowed regions only")
 {
     Fleet fleet({{}, {"south"}, {}});
     fleet.arrive();
@@ -59,7 +59,8 @@
     CHECK(again->upstream->identity == "ib");
 }
 
-TEST_CASE("regions of the account hold besides; with none left it is refused at once")
+TEST_CASE(
+    "limits of pipeline and account intersect; with no hall left a request is refused")
 {
     Fleet of_account({{}, {}, {"north"}});
     of_account.arrive();
@@ -79,7 +80,7 @@
     CHECK(unknown.find<Reply>()->error == ErrorKind::NoAllowedHall);
 }
 
-TEST_CASE("a region whose halls are evacuated is no way out")
+TEST_CASE("a request limited to a region whose halls are evacuated is refused")
 {
     Fleet fleet({{}, {"south"}, {}});
     fleet.table.set_evacuated({"b"}, 0);
@@ -89,7 +90,7 @@
     CHECK(fleet.find<Reply>()->error == ErrorKind::NoAllowedHall);
 }
 
-TEST_CASE("pieces are made and prompts are read in allowed halls only")
+TEST_CASE("pieces are made and prompts are placed in allowed halls only")
 {
     auto a = std::make_shared<UpstreamState>("10.0.0.1:1", "a", "ia");
     auto b = std::make_shared<UpstreamState>("10.0.0.2:1", "b", "ib");
--- a/src/libcypressford/mix.h
+++ b/src/libcypressford/mix.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Numbers that are spread evenly, from others that are not.
+/// Mixing of numbers to evenly distributed ones.
 
 #pragma once
 
@@ -19,7 +19,7 @@
     return x ^ (x >> 31);
 }
 
-/// A number in [0, 1) that is spread evenly over seeds.
+/// Maps seeds to numbers in [0, 1) that are evenly distributed.
 inline double
 spread(std::uint64_t seed)
 {
--- a/src/roundrobin.router/roundrobin.cpp
+++ b/src/roundrobin.router/roundrobin.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Each upstream in turn.  A baseline to measure against.
+/// Chooses the upstreams in turn.  Baseline for comparisons.
 
 #include <cypressford/registry.h>
 #include <cypressford/router.h>
