--- a/src/budget.admission/budget.cpp
+++ b/src/budget.admission/budget.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The deadline as one budget over the stages: a request comes in only if its
-/// stages, waits included, are expected to fit into what is left.
+/// Treats the deadline as one time budget over all stages: a request is admitted only if
+/// its stages, including waits, are expected to fit into the remaining time.
 
 #include <cypressford/admission.h>
 #include <cypressford/registry.h>
@@ -14,10 +14,10 @@
 
 namespace {
 
-// Part of the budget that waits may use up before a large account is held to
-// its fair share of what is in progress.
+// Fraction of the slack that waits may use up before accounts are limited to their fair
+// share of the requests in progress.
 constexpr double kPressure = 0.8;
-// How far over its fair share an account may be under pressure.
+// Multiple of its fair share that an account may have in progress under pressure.
 constexpr double kShareSlack = 1.5;
 constexpr Micros kShortestRetry = 200 * kMillisecond;
 
@@ -31,7 +31,7 @@
         Micros finish = 0;
         Micros service = 0;
         Micros tail = 0;
-        for (const StageOutlook& stage : query.stages) {
+        for (const StageEstimate& stage : query.stages) {
             if (stage.usable == 0)
                 return {false, ErrorKind::NoUpstream, kSecond, 0};
             // Backlogs of later stages drain while earlier ones run.
@@ -43,19 +43,18 @@
         if (late > 0)
             return {false, ErrorKind::DeadlineUnreachable, std::max(late, kShortestRetry),
                     finish};
-        // Where only a prompt answer is worth its work, a late one is refused while
-        // the caller can still come back in time.  Without a wait ahead there is
-        // nothing to come back later for.
+        // A request that would miss its target latency is refused while its caller can
+        // still retry in time.  Without a wait ahead, a later retry would gain nothing.
         const Micros wait = finish - service;
-        if (query.prompt_by > 0 && wait > 0 && query.now + finish > query.prompt_by)
+        if (query.target_by > 0 && wait > 0 && query.now + finish > query.target_by)
             return {false, ErrorKind::DeadlineUnreachable,
-                    std::max(query.now + finish - query.prompt_by, kShortestRetry), finish};
+                    std::max(query.now + finish - query.target_by, kShortestRetry), finish};
         const auto slack = static_cast<double>(budget - service);
         if (static_cast<double>(wait) > kPressure * slack && over_share(query))
             return {false, ErrorKind::AccountLimit, std::max(wait, kShortestRetry), finish};
         return {true, ErrorKind::DeadlineUnreachable, 0, finish};
     }
-    bool queues_here() const override { return true; }
+    bool queues_in_daemon() const override { return true; }
     bool drops_late() const override { return true; }
 
 private:
--- a/src/fixed.admission/fixed.cpp
+++ b/src/fixed.admission/fixed.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A fixed limit on requests in progress.  A baseline to measure against.
+/// A fixed limit on requests in progress.  Baseline for comparisons.
 
 #include <cypressford/admission.h>
 #include <cypressford/registry.h>
@@ -19,7 +19,7 @@
             return {};
         return {false, ErrorKind::QueueFull, kSecond};
     }
-    bool queues_here() const override { return false; }
+    bool queues_in_daemon() const override { return false; }
     bool drops_late() const override { return false; }
 };
 
--- a/src/include/cypressford/admission.h
+++ b/src/include/cypressford/admission.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Interface of admission plug-ins: what is taken in and what is refused.
+/// Interface of admission plug-ins, which decide which requests are admitted.
 
 #pragma once
 
@@ -12,46 +12,47 @@
 
 namespace cypressford {
 
-/// What is known of one stage when a request asks to come in.
-struct StageOutlook {
+/// Estimate for one stage of a request at admission.
+struct StageEstimate {
     Micros typical = 0; ///< median service time; 0 while unknown
     Micros tail = 0; ///< 95th percentile; 0 while unknown
-    Micros backlog = 0; ///< time to work off what is ahead of this request
+    Micros backlog = 0; ///< time to process the work ahead of this request
     int usable = 0; ///< upstreams that can take calls now
     int waiting = 0; ///< requests in the queue of this stage
 };
 
-/// A request that asks to come in.
+/// A request to be admitted or refused.
 struct AdmissionQuery {
     Micros now = 0;
     Micros deadline = 0;
-    Micros prompt_by = 0; ///< when an answer still counts as prompt; 0: no such time
+    Micros target_by = 0; ///< when the target latency ends; 0: no target latency
     int priority = 0;
     int in_progress = 0; ///< requests in this daemon
-    int account_in_progress = 0; ///< of them, this account's
+    int account_in_progress = 0; ///< requests of this account in this daemon
     int active_accounts = 1; ///< accounts with a request in progress
-    std::span<const StageOutlook> stages;
+    std::span<const StageEstimate> stages;
 };
 
-/// The answer: admitted, or the kind to refuse with and when to come back.
+/// The decision: admitted, or refused with an error kind and a retry-after time.
 struct AdmissionVerdict {
     bool admitted = true;
     ErrorKind kind = ErrorKind::DeadlineUnreachable;
     Micros retry_after = 0;
-    Micros expected = 0; ///< until the answer, as far as it was worked out
+    Micros expected = 0; ///< estimated time to answer; 0 if not estimated
 };
 
-/// Decides at the door.
+/// Decides whether requests are admitted.
 class Admission {
 public:
     virtual ~Admission() = default;
 
     virtual AdmissionVerdict admit(const AdmissionQuery& query) const = 0;
 
-    /// True if calls beyond an upstream's slots wait here instead of there.
-    virtual bool queues_here() const = 0;
+    /// True if calls beyond an upstream's slots wait in the daemon instead of at the
+    /// upstream.
+    virtual bool queues_in_daemon() const = 0;
 
-    /// True if work that can no longer make its deadline is dropped early.
+    /// True if requests that can no longer meet their deadline are dropped early.
     virtual bool drops_late() const = 0;
 };
 
--- a/src/include/cypressford/retry_budget.h
+++ b/src/include/cypressford/retry_budget.h
@@ -8,11 +8,11 @@
 
 namespace cypressford {
 
-/// Lets second attempts be only a fixed part of first attempts, so that
-/// retries can't multiply the load of an outage.
+/// Limits second attempts to a fixed ratio of first attempts, so that retries can't
+/// multiply the load during an outage.
 class RetryBudget {
 public:
-    /// `saved`: available before anything is earned.
+    /// `saved`: initial budget, in attempts.
     RetryBudget(double ratio, double burst, double saved)
         : m_ratio(ratio)
         , m_burst(burst)
@@ -20,14 +20,13 @@
     {
     }
 
-    /// First attempts, one unless told otherwise, were made.
+    /// Adds the share earned by first attempts.
     void earn(std::size_t attempts = 1)
     {
         m_tokens = std::min(m_burst, m_tokens + m_ratio * static_cast<double>(attempts));
     }
 
-    /// True if second attempts, one unless told otherwise, may be made; they are then
-    /// paid for.
+    /// True if second attempts may be made; they are then charged to the budget.
     bool spend(std::size_t attempts = 1)
     {
         const auto price = static_cast<double>(attempts);
@@ -37,7 +36,7 @@
         return true;
     }
 
-    /// The share of this daemon has changed.
+    /// Adjusts the bound on saved attempts after a change of this daemon's share.
     void set_burst(double burst)
     {
         m_burst = burst;
@@ -46,30 +45,30 @@
 
 private:
     double m_ratio; ///< earned by each first attempt
-    double m_burst; ///< most that can be saved up
+    double m_burst; ///< most attempts that can be saved up
     double m_tokens;
 };
 
-/// A bound on second attempts over all daemons together: `ratio` of the first
-/// attempts and `extra` more in any window.  Each daemon saves up its part of
-/// `extra` at most and starts with one attempt or less, so neither many daemons nor
-/// daemons that are killed and started again exceed it.
+/// A limit on second attempts over all daemons together: `ratio` of the first attempts plus
+/// `extra` in any window.  Each daemon saves up at most its share of `extra` and starts
+/// with at most one attempt, so that the limit holds with many daemons and with daemons
+/// that are killed and restarted.
 struct RetryLimit {
-    double ratio = 0; ///< 0: no bound over all daemons
+    double ratio = 0; ///< 0: no limit over all daemons
     double extra = 0;
 
-    /// Parts of the bound.
+    /// Fractions of the limit.
     static constexpr double kForRetries = 0.6;
     static constexpr double kForHedges = 0.2;
     static constexpr double kForStarts = 0.2;
 
     bool is_set() const { return ratio > 0; }
-    /// What one of `sharers` may spend before it has earned anything.
-    double at_start(int sharers) const
+    /// Attempts that one of `sharers` may make before it has earned any.
+    double initial_tokens(int sharers) const
     {
         return std::min(1.0, kForStarts * extra / std::max(1, sharers));
     }
-    /// Most that one of `sharers` may save up; a whole attempt at least.
+    /// Most attempts that one of `sharers` may save up; at least one.
     double burst(double part, int sharers) const
     {
         return std::max(1.0, part * extra / std::max(1, sharers));
--- a/src/include/cypressford/scheduler.h
+++ b/src/include/cypressford/scheduler.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The life of requests as decisions: events and a time go in, actions come
-/// out.  No I/O, no clock and no randomness of its own, so that the same code
-/// runs in a daemon, in another program and under a fuzzer with virtual time.
+/// Scheduling of requests as a pure state machine: events and a time go in, actions come
+/// out.  No I/O, no clock and no randomness of its own, so that the same code runs in a
+/// daemon, embedded in another program and under a fuzzer with virtual time.
 
 #pragma once
 
@@ -29,22 +29,22 @@
 using RequestId = std::uint64_t;
 using AttemptId = std::uint64_t;
 
-/// A request as it asks to come in.
+/// A request as submitted to the scheduler.
 struct RequestSpec {
     RequestId id = 0;
-    SnapshotPtr snapshot; ///< the bundle this request lives in to its end
+    SnapshotPtr snapshot; ///< the bundle that applies to this request until its end
     std::size_t pipeline = 0; ///< index into snapshot->bundle->pipelines
     std::size_t account = 0; ///< index into snapshot->bundle->accounts
-    Micros deadline = 0; ///< point in time
+    Micros deadline = 0; ///< absolute time
     bool has_key = false; ///< the caller gave an Idempotency-Key
     std::uint64_t affinity = 0;
-    std::int64_t shared_tokens = -1; ///< of the prompt; -1: not known
-    /// Pieces that must be made before the stages, by piece stage of the
-    /// pipeline; 0 leaves a piece stage out.
+    std::int64_t shared_tokens = -1; ///< shared tokens of the prompt; -1: unknown
+    /// Number of pieces to make before the first stage, one entry for each piece stage of
+    /// the pipeline; 0 skips the piece stage.
     std::vector<int> pieces;
 
-    HallLimit halls; ///< where it may be worked on
-    /// Whoever leads the upstream set is asked which upstream is to have it.
+    HallLimit halls; ///< halls in which the request may be processed
+    /// The leader of the upstream set chooses the upstream.
     bool asks_leader = false;
 
     bool needs_pieces() const
@@ -53,32 +53,32 @@
     }
 };
 
-/// How an attempt ended, as far as the driver can tell.
+/// How an attempt ended, as far as the driver can determine.
 enum class AttemptStatus : unsigned char {
-    Ok, ///< whole answer
-    NotSent, ///< no byte of the request left, or it was refused unread
-    Overloaded, ///< the upstream says it did not run it: too much work
-    Leaving, ///< the upstream says it did not run it: it is leaving
-    Failed, ///< the upstream answered with an error; it may have run
-    Lost, ///< no whole answer; it may have run
-    Rejected, ///< the upstream finds the request itself wrong
-    InputGone, ///< not run: a result it was to read is gone
-    Withheld, ///< not sent: the upstream takes no calls since it was chosen
-    Quarantined, ///< not sent: no upstream is to have the request any more
-};
-
-/// How the claim for a key was decided.
+    Ok, ///< complete answer
+    NotSent, ///< no byte of the request was sent, or it was rejected unread
+    Overloaded, ///< the upstream reports that it did not run the request: overloaded
+    Leaving, ///< the upstream reports that it did not run the request: shutting down
+    Failed, ///< the upstream answered with an error; the request may have run
+    Lost, ///< no complete answer; the request may have run
+    Rejected, ///< the upstream reports that the request itself is invalid
+    InputGone, ///< not run: an input result no longer exists
+    Withheld, ///< not sent: the upstream stopped accepting calls after it was chosen
+    Quarantined, ///< not sent: the request must not be sent to any upstream any more
+};
+
+/// How the claim for an idempotency key was decided.
 enum class ClaimResult : unsigned char {
     Won, ///< this request may send, once
-    Replayed, ///< it ran before; the driver holds the recorded answer
+    Replayed, ///< the request ran before; the driver holds the recorded answer
     Mismatch, ///< the key belongs to another request
     InProgress, ///< claimed by another attempt that has no outcome yet
-    Unknown, ///< it was claimed before and its outcome is not known
-    Expired, ///< too old to tell
+    Unknown, ///< the key was claimed before and the outcome of that run is unknown
+    Expired, ///< the key is too old for its claim to be decided
     Unavailable, ///< the log did not answer in time; nothing will be sent
 };
 
-/// What becomes of a claim that was won.
+/// How a claim that was won ends.
 enum class ClaimOutcome : unsigned char { NotRun, Done, Unknown };
 
 // Events.
@@ -89,8 +89,8 @@
     AttemptId attempt = 0;
     AttemptStatus status = AttemptStatus::Lost;
 };
-/// The upstream has begun to answer.
-struct AttemptBegun {
+/// The upstream has started to answer.
+struct ResponseStarted {
     AttemptId attempt = 0;
 };
 struct ClaimDecided {
@@ -106,19 +106,20 @@
     RequestId request = 0;
     bool made = false;
     std::string hall; ///< where most of the results are; empty if unknown
-    std::string identity; ///< of the upstream that is to have it; empty: any
-    bool is_counted = false; ///< the leader has counted it against that upstream's limit
+    std::string identity; ///< identity of the chosen upstream; empty: any
+    bool is_counted = false; ///< the leader counted the call against the upstream's limit
 };
 /// The upstream's answer shows that it has read the results that the request was
 /// prepared with.
 struct InputsRead {
     AttemptId attempt = 0;
 };
-/// The daemon ends in a moment: what runs nowhere is answered now.
-struct StopEnds { };
+/// The daemon is about to exit: requests without a running attempt are answered now.
+struct ShutdownImminent { };
 struct Tick { };
-using Event = std::variant<RequestArrived, AttemptBegun, AttemptEnded, ClaimDecided,
-                           CallerClosed, PreparationEnded, InputsRead, StopEnds, Tick>;
+using Event
+    = std::variant<RequestArrived, ResponseStarted, AttemptEnded, ClaimDecided,
+                   CallerClosed, PreparationEnded, InputsRead, ShutdownImminent, Tick>;
 
 // Actions.
 /// Send stage `stage` of `request` to `upstream`.
@@ -129,9 +130,9 @@
     std::shared_ptr<UpstreamState> upstream;
     Micros deadline = 0;
     bool may_repeat = true; ///< false: at most one send for this key, ever
-    CallCount count = CallCount::Own; ///< what begin_call() takes it from
+    CallCount count = CallCount::Own; ///< passed to begin_call()
 };
-/// Give up on an attempt; its end is still to be reported.
+/// Abort an attempt.  An AttemptEnded event still has to follow.
 struct CancelAttempt {
     AttemptId attempt = 0;
 };
@@ -144,24 +145,25 @@
 struct BeginPreparation {
     RequestId request = 0;
     Micros deadline = 0;
-    Micros prompt_by = 0; ///< when they must be made for a prompt answer
-    bool follows_prompt = false; ///< the upstream that keeps its prompt decides the hall
-    std::string near; ///< hall for the results otherwise
-    bool again = false; ///< they were made before and are gone
+    Micros target_by = 0; ///< when the pieces must be made to meet the target latency
+    bool follows_prompt = false; ///< the upstream caching the prompt determines the hall
+    std::string near; ///< otherwise the preferred hall for the results
+    bool again = false; ///< the pieces were made before and no longer exist
 };
-/// Release the results that `request` was prepared with: nothing will read them.
+/// Release the results that `request` was prepared with: they will not be read again.
 struct ReleaseInputs {
     RequestId request = 0;
 };
-/// Tell whoever chose the upstream of `request` that it could not be reached.
-struct ReportUnreached {
+/// Report to the leader that chose the upstream of `request` that the upstream is
+/// unreachable.
+struct ReportUnreachable {
     RequestId request = 0;
 };
-/// Give up on the pieces of `request`.
+/// Cancel the pieces of `request`.
 struct CancelPreparation {
     RequestId request = 0;
 };
-/// Record what became of the claim of `request`.
+/// Record the outcome of the claim of `request`.
 struct EndClaim {
     RequestId request = 0;
     ClaimOutcome outcome = ClaimOutcome::Unknown;
@@ -169,41 +171,43 @@
 /// The final answer to the caller.
 struct Reply {
     RequestId request = 0;
-    std::optional<ErrorKind> error; ///< nothing: the answer of the last stage
+    std::optional<ErrorKind> error; ///< empty: the answer of the last stage
     Ran ran = Ran::NotRun;
     Micros retry_after = 0;
     bool replayed = false; ///< answer with the recorded outcome
-    Micros expected = 0; ///< refused at the door: how long it would have taken
+    Micros expected = 0; ///< refused at admission: the estimated time to answer
 };
-/// The scheduler has forgotten `request`; nothing more comes for it.
+/// The scheduler has dropped all state of `request`; no further action refers to it.
 struct Forget {
     RequestId request = 0;
 };
 using Action
     = std::variant<SendAttempt, CancelAttempt, BeginClaim, EndClaim, BeginPreparation,
-                   CancelPreparation, ReleaseInputs, ReportUnreached, Reply, Forget>;
+                   CancelPreparation, ReleaseInputs, ReportUnreachable, Reply, Forget>;
 using Actions = std::vector<Action>;
 
-/// Settings of a scheduler; the bundle knows nothing of these.
+/// Settings of a scheduler that are not part of the bundle.
 struct SchedulerOptions {
-    int daemons_in_hall = 1; ///< how many share the hall's upstreams
+    int daemons_in_hall = 1; ///< daemons that share the hall's upstreams
     int schedulers = 1; ///< schedulers (threads) in this daemon
     std::size_t max_waiting = 2000; ///< requests in all queues together
     double retry_ratio = 0.1; ///< retries earned by each first attempt
-    double retry_burst = 10; ///< retries that may come at once
+    double retry_burst = 10; ///< most retries that can be saved up
     int max_attempts = 4; ///< of one stage of one request
     double hedge_ratio = 0.05; ///< hedges earned by each first attempt
-    double hedge_burst = 2; ///< hedges that may come at once
-    RetryLimit retry_limit; ///< over all daemons; comes before the four above if set
+    double hedge_burst = 2; ///< most hedges that can be saved up
+    RetryLimit retry_limit; ///< over all daemons; if set, overrides the ratios and bursts
     bool hedging = true;
-    bool eject = true; ///< take failing upstreams out for a while
+    bool eject = true; ///< temporarily remove failing upstreams from service
     PolicySwitches switches;
-    /// Callers that are refused while all upstreams rest come back over so much of the
-    /// rest's length behind its end, not all within a millisecond.  Of 16,800 callers of
-    /// rest_load_test 13,397 are answered in time and 632 late, with 0 13,565 and 369, with
-    /// 1 12,732 and 1,311: who comes back later is late anyway and delays others.
-    double rest_spread = 0.1;
-    /// Non-repeatable attempts that outlive their caller are followed this long.
+    /// Retry-after times that are given out while all upstreams back off are spread over
+    /// this fraction of the backoff beyond its end, so that callers don't all retry within
+    /// a millisecond.  Of 16,800 callers in rest_load_test, 13,397 are answered in time and
+    /// 632 late; with 0 it is 13,565 and 369, with 1 it is 12,732 and 1,311, since callers
+    /// that retry later are late anyway and delay others.
+    double backoff_jitter = 0.1;
+    /// How long a non-repeatable attempt is tracked after its request was answered or its
+    /// caller disconnected.
     Micros detached_limit = 60 * kSecond;
 };
 
@@ -230,16 +234,16 @@
     Scheduler(const Scheduler&) = delete;
     Scheduler& operator=(const Scheduler&) = delete;
 
-    /// Takes one event at time `now` and appends what is to be done to `out`.
+    /// Processes one event at time `now` and appends the resulting actions to `out`.
     void handle(const Event& event, Micros now, Actions& out);
 
-    /// How many daemons of the hall are alive, as membership sees it.
+    /// Sets the number of live daemons in this hall, according to membership.
     void set_daemons_in_hall(int count);
-    /// The same of all halls; they share the limit on retries.
+    /// Sets the number of live daemons in all halls; they share the limit on retries.
     void set_daemons(int count);
 
     std::size_t in_progress() const; ///< requests not yet answered
-    std::size_t live() const; ///< requests not yet forgotten
+    std::size_t live() const; ///< requests not yet dropped by a Forget action
     const SchedulerStats& stats() const;
 
 private:
--- a/src/libcypressford/candidates.cpp
+++ b/src/libcypressford/candidates.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// The learned latency of an upstream without answers is halved this often, so
-// that one that was slow is tried again.
+// The recorded latency of an upstream that sends no answers is halved at this interval, so
+// that calls are sent to a slow upstream again.
 constexpr Micros kLatencyHalfLife = 5 * kSecond;
 constexpr int kMaxHalvings = 20;
 
@@ -30,7 +30,7 @@
         < slot_limit(upstream, slots, daemons);
 }
 
-/// An upstream that failed lately and is due for one trial call.
+/// True if the upstream failed recently and is due for one trial call.
 bool
 needs_probe(const UpstreamState& upstream)
 {
@@ -69,7 +69,7 @@
         != query.tried.end();
 }
 
-/// True for warm upstreams, and for cold ones that the call may go to.
+/// True for warm upstreams, and for cold ones that the call may be sent to.
 bool
 is_warm_enough(const UpstreamState& upstream, const CandidateQuery& query)
 {
@@ -80,7 +80,8 @@
     return query.allow_cold && upstream.cold.may_send(query.daemons, query.now);
 }
 
-/// A call that the leader of the set has granted is counted already.
+/// A call that was granted by the leader of the set is already counted, so the limit of the
+/// upstream is not checked for it.
 bool
 is_usable_for(const UpstreamState& upstream, const CandidateQuery& query)
 {
@@ -93,8 +94,8 @@
 
 /// Adds the upstream to `out` if it can take the call.
 void
-consider(const std::shared_ptr<UpstreamState>& upstream, const UpstreamSet& set,
-         const CandidateQuery& query, bool remote, Candidates& out)
+add_if_eligible(const std::shared_ptr<UpstreamState>& upstream, const UpstreamSet& set,
+                const CandidateQuery& query, bool remote, Candidates& out)
 {
     if (!is_usable_for(*upstream, query) || was_tried(*upstream, query)
         || !is_warm_enough(*upstream, query))
@@ -119,18 +120,19 @@
         const UpstreamSet& set, const CandidateQuery& query, bool remote, Candidates& out)
 {
     const std::size_t count = upstreams.size();
-    if (!query.want_all && count > kWholeScan) {
-        // Two random choices are nearly as good as a look at all of them
-        // (Mitzenmacher), and their cost does not grow with the hall.
+    if (!query.want_all && count > kFullScanLimit) {
+        // The better of two random choices is nearly as good as the best of all
+        // (Mitzenmacher), at a cost that does not grow with the hall.
         const std::size_t start = query.random % count;
         const std::size_t stride = 1 + (query.random >> 32) % (count - 1);
-        for (std::size_t i = 0; i < 2 * kSample && out.values.size() < kSample; ++i)
-            consider(upstreams[(start + i * stride) % count], set, query, remote, out);
+        for (std::size_t i = 0; i < 2 * kSampleSize && out.values.size() < kSampleSize; ++i)
+            add_if_eligible(upstreams[(start + i * stride) % count], set, query, remote,
+                            out);
         if (!out.empty())
             return;
     }
     for (const auto& upstream : upstreams)
-        consider(upstream, set, query, remote, out);
+        add_if_eligible(upstream, set, query, remote, out);
 }
 
 } // namespace
@@ -145,8 +147,8 @@
 int
 slot_limit(const UpstreamState& upstream, int slots, int daemons_in_hall)
 {
-    // The report on others lags, so what they seem to leave is used with care:
-    // one call beyond the even part at most.
+    // Reports on the calls of other daemons lag, so the slots that they seem to leave free
+    // are used cautiously: at most one call beyond the even share.
     const int even = (slots + daemons_in_hall - 1) / std::max(1, daemons_in_hall);
     const int left = slots - upstream.others.load(std::memory_order_relaxed);
     return std::clamp(left, even, std::min(slots, even + 1));
@@ -164,7 +166,7 @@
 }
 
 bool
-rests(const UpstreamState& upstream, Micros now)
+has_backoff(const UpstreamState& upstream, Micros now)
 {
     return upstream.said->rests(now) && !mutated(Mutation::SendToResting);
 }
@@ -176,7 +178,7 @@
 {
     if (mutated(Mutation::AskBeforeQueueOnly))
         return true;
-    if (is_closed(upstream, now) || rests(upstream, now))
+    if (is_closed(upstream, now) || has_backoff(upstream, now))
         return false;
     if (count == CallCount::Counted)
         return true;
@@ -200,7 +202,7 @@
 bool
 is_usable(const UpstreamState& upstream, Micros now, RatePart part)
 {
-    return is_in_service(upstream, now) && !rests(upstream, now)
+    return is_in_service(upstream, now) && !has_backoff(upstream, now)
         && upstream.said->limit().opens_at(part) <= now;
 }
 
@@ -212,7 +214,7 @@
         for (const auto* side : {&set.own, &set.remote})
             for (const auto& upstream : *side)
                 if (upstream->hall == query.near)
-                    consider(upstream, set, query, side == &set.remote, out);
+                    add_if_eligible(upstream, set, query, side == &set.remote, out);
         if (!out.empty())
             return;
     }
@@ -223,14 +225,14 @@
 
 namespace {
 
-/// True if the upstream gets calls at a rate, whatever slots it has.
+/// True if calls to the upstream are rate-limited (paced), independent of its slots.
 bool
 is_paced(const UpstreamState& upstream, Micros now)
 {
     return upstream.cold.is_cold(now) || upstream.said->limit().is_set();
 }
 
-/// This daemon's part of the slots of upstreams that get calls as they have slots.
+/// This daemon's share of the slots of upstreams that are not rate-limited.
 double
 slot_share(const std::vector<std::shared_ptr<UpstreamState>>& upstreams,
            const UpstreamSet& set, int daemons, Micros now)
@@ -247,7 +249,7 @@
     return share;
 }
 
-/// Calls a second that this daemon may send an upstream that gets calls at a rate.
+/// Calls per second that this daemon may send to a rate-limited upstream.
 double
 paced_rate(const UpstreamState& upstream, int daemons, Micros now)
 {
@@ -259,14 +261,14 @@
     return upstream.cold.is_cold(now) ? std::min(limited, cold) : limited;
 }
 
-/// Calls a second that this daemon may send to all upstreams that get calls at a rate.
+/// Calls per second that this daemon may send to all rate-limited upstreams.
 double
 paced_calls_per_s(const UpstreamSet& set, int daemons, Micros now)
 {
     double calls_per_s = 0;
     for (const auto* side : {&set.own, &set.remote})
         for (const auto& upstream : *side)
-            if (is_in_service(*upstream, now) && !rests(*upstream, now)
+            if (is_in_service(*upstream, now) && !has_backoff(*upstream, now)
                 && is_paced(*upstream, now))
                 calls_per_s += paced_rate(*upstream, daemons, now);
     return calls_per_s;
@@ -289,11 +291,11 @@
 share_of_slots(const UpstreamSet& set, Sharers sharers, Micros typical, Micros now)
 {
     double share = slot_share(set.own, set, sharers.daemons_in_hall, now);
-    // A daemon whose hall is evacuated, cut down or cold works with the other halls: held
-    // to the slots of its own it would run one call at a time.
+    // A daemon whose hall is evacuated, out of service or cold uses the upstreams of other
+    // halls; limited to the slots of its own hall it would run one call at a time.
     if (share <= 0)
         share = slot_share(set.remote, set, sharers.daemons, now);
-    // Calls that are under way at a time at a rate, by Little's law.
+    // Concurrent calls at a given rate, by Little's law.
     return share
         + paced_calls_per_s(set, sharers.daemons, now) * static_cast<double>(typical)
         / kSecond;
--- a/src/libcypressford/candidates.h
+++ b/src/libcypressford/candidates.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which upstreams of a set can take a call now.
+/// Selects the upstreams of a set that can take a call now.
 
 #pragma once
 
@@ -15,29 +15,31 @@
 
 namespace cypressford {
 
-/// What limits the choice.
+/// Constraints of the selection.
 struct CandidateQuery {
     Micros now = 0;
     int daemons_in_hall = 1;
     bool limit_slots = true; ///< leave out upstreams without a free slot
     bool allow_probe = true; ///< an ejected upstream may get one trial call
-    std::span<const UpstreamState* const> tried; ///< already had this stage
-    bool want_all = true; ///< false: a random part of a large set will do
-    std::uint64_t random = 0; ///< chooses that part
-    /// Upstreams of this hall go first, if one can take the call; empty: the own.
+    std::span<const UpstreamState* const> tried; ///< already tried for this stage
+    bool want_all = true; ///< false: a random sample of a large set is enough
+    std::uint64_t random = 0; ///< selects the sample
+    /// Upstreams of this hall are preferred, if one can take the call; empty: the local
+    /// hall.
     std::string_view near;
-    bool any_hall = false; ///< upstreams of all halls alike
-    /// Cold upstreams are left out but for the one with this identity, to which the leader
-    /// of the set has granted the call ...
+    bool any_hall = false; ///< no preference among halls
+    /// Cold upstreams are left out except for the one with this identity, for which the
+    /// leader of the set has granted the call ...
     std::string_view granted;
-    bool is_counted = false; ///< the leader has counted it against that upstream's limit
-    /// ... and those that this daemon, one of `daemons`, may send a call by itself.
+    bool is_counted = false; ///< the leader counted the call against the upstream's limit
+    /// ... and those to which this daemon, one of `daemons`, may send a call without a
+    /// grant.
     bool allow_cold = false;
-    const HallLimit* halls = nullptr; ///< no others; null: all
+    const HallLimit* halls = nullptr; ///< allowed halls; null: all
     int daemons = 1;
 };
 
-/// Upstreams that can take a call, with the states behind them.
+/// Upstreams that can take a call, with their states.
 struct Candidates {
     std::vector<Candidate> values;
     std::vector<const std::shared_ptr<UpstreamState>*> states;
@@ -49,41 +51,41 @@
 /// Calls that this daemon may have in flight to one upstream.
 int slot_limit(const UpstreamState& upstream, int slots, int daemons_in_hall);
 
-/// Sets up to this size are always looked at whole.
-inline constexpr std::size_t kWholeScan = 32;
-/// Usable upstreams that are enough to choose from in a larger set.
-inline constexpr std::size_t kSample = 6;
+/// Sets up to this size are always scanned completely.
+inline constexpr std::size_t kFullScanLimit = 32;
+/// Sufficient number of usable upstreams to choose from in a larger set.
+inline constexpr std::size_t kSampleSize = 6;
 
-/// Fills `out` with the upstreams of the own hall, or, if none of them can
-/// take the call, with those of other halls.
+/// Fills `out` with the upstreams of the local hall, or, if none of them can take the call,
+/// with those of other halls.
 void collect_candidates(const UpstreamSet& set, const CandidateQuery& query,
                         Candidates& out);
 
-/// Who shares the upstreams of a set.
+/// Daemons that share the upstreams of a set.
 struct Sharers {
     int daemons_in_hall = 1;
     int daemons = 1; ///< of all halls
 };
 
-/// Calls that this daemon can run at a time, as a fraction: its part of the own hall's
-/// upstreams, or of those of all halls where the own hall has none that are warm and
-/// usable.  `typical`: time of a call, by which a rate becomes slots.
+/// Concurrent calls that this daemon can run, as a fraction: its share of the upstreams of
+/// the local hall, or of all halls if the local hall has no warm and usable upstream.
+/// `typical`: duration of a call, used to convert a rate to slots.
 double share_of_slots(const UpstreamSet& set, Sharers sharers, Micros typical, Micros now);
 
-/// Calls a second that this daemon, one of so many, may send to upstreams that get calls at
-/// a rate, if no other is usable; else 0.
+/// Calls per second that this daemon, one of `daemons`, may send to rate-limited upstreams
+/// if no other upstream is usable; else 0.
 double calls_per_s_if_paced(const UpstreamSet& set, int daemons, Micros now);
 
-/// Upstreams anywhere that are not in an evacuated hall.
+/// Upstreams of all halls that are not evacuated.
 int count_in_service(const UpstreamSet& set);
 
-/// How long until an upstream that asked for rest, or has had what its limit lets that part
-/// send, can be used again, if there is none that can be used now; else 0, also where there
-/// is none in service.
+/// If no upstream is usable now: time until the first one is, of those in service that are
+/// in backoff or have used up what their limit allows that part to send.  Else 0, also if
+/// no upstream is in service.
 Micros time_to_first_usable(const UpstreamSet& set, Micros now, const HallLimit& halls = {},
                             RatePart part = RatePart::Own);
 
-/// Usable upstreams in these halls.
+/// Number of usable upstreams in these halls.
 int count_usable(const UpstreamSet& set, Micros now, const HallLimit& halls = {},
                  RatePart part = RatePart::Own);
 
--- a/src/libcypressford/relay_test.cpp
+++ b/src/libcypressford/relay_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The life of relayed requests in the scheduler.
+/// Relayed requests in the scheduler.
 
 #include <doctest/doctest.h>
 
@@ -15,10 +15,10 @@
 namespace cypressford {
 namespace {
 
-/// One scheduler over two upstreams, with its actions collected.
-class Bench {
+/// A scheduler over two upstreams that collects the actions of the last event.
+class RelayFixture {
 public:
-    explicit Bench(SchedulerOptions options = {})
+    explicit RelayFixture(SchedulerOptions options = {})
         : m_router(Registry<Router>::instance().make("adaptive"))
         , m_admission(Registry<Admission>::instance().make("budget"))
         , m_table("a")
@@ -107,52 +107,52 @@
     return spec;
 }
 
-TEST_CASE("a relayed request that may not be repeated needs no key and is sent once")
+TEST_CASE("a relayed non-repeatable request needs no key and is sent once")
 {
-    Bench bench;
-    bench.publish(pipeline(false));
-    bench.arrive(1, kSecond);
-    CHECK_FALSE(bench.find<BeginClaim>());
-    const auto* send = bench.find<SendAttempt>();
+    RelayFixture fixture;
+    fixture.publish(pipeline(false));
+    fixture.arrive(1, kSecond);
+    CHECK_FALSE(fixture.find<BeginClaim>());
+    const auto* send = fixture.find<SendAttempt>();
     REQUIRE(send);
     CHECK_FALSE(send->may_repeat);
-    bench.handle(AttemptEnded {send->attempt, AttemptStatus::Lost});
-    CHECK_FALSE(bench.find<SendAttempt>());
-    const auto* reply = bench.find<Reply>();
+    fixture.handle(AttemptEnded {send->attempt, AttemptStatus::Lost});
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    const auto* reply = fixture.find<Reply>();
     REQUIRE(reply);
     CHECK(*reply->error == ErrorKind::OutcomeUnknown);
     CHECK(reply->ran == Ran::Unknown);
 }
 
-TEST_CASE("one that was proven unrun goes to another upstream")
+TEST_CASE("a request that is proven not to have run is sent to another upstream")
 {
     for (const AttemptStatus status :
          {AttemptStatus::NotSent, AttemptStatus::Overloaded, AttemptStatus::Leaving}) {
-        Bench bench;
-        bench.publish(pipeline(false));
-        bench.arrive(1, kSecond);
-        const auto first = *bench.find<SendAttempt>();
-        bench.handle(AttemptEnded {first.attempt, status});
-        const auto* second = bench.find<SendAttempt>();
+        RelayFixture fixture;
+        fixture.publish(pipeline(false));
+        fixture.arrive(1, kSecond);
+        const auto first = *fixture.find<SendAttempt>();
+        fixture.handle(AttemptEnded {first.attempt, status});
+        const auto* second = fixture.find<SendAttempt>();
         REQUIRE(second);
         CHECK(second->upstream != first.upstream);
     }
 }
 
-TEST_CASE("a request that is quarantined while it is in hand goes to nobody else")
+TEST_CASE("a request that is quarantined while in progress is not sent to another upstream")
 {
-    Bench bench;
-    bench.publish(pipeline(true));
-    bench.arrive(1, kSecond);
-    bench.handle(
-        AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::Quarantined});
-    CHECK_FALSE(bench.find<SendAttempt>());
-    REQUIRE(bench.find<Reply>());
-    CHECK(*bench.find<Reply>()->error == ErrorKind::Quarantined);
-    CHECK(bench.find<Reply>()->ran == Ran::NotRun);
-
-    // After a run that may have ended an upstream, "not run" would be false.
-    Bench again;
+    RelayFixture fixture;
+    fixture.publish(pipeline(true));
+    fixture.arrive(1, kSecond);
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::Quarantined});
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    REQUIRE(fixture.find<Reply>());
+    CHECK(*fixture.find<Reply>()->error == ErrorKind::Quarantined);
+    CHECK(fixture.find<Reply>()->ran == Ran::NotRun);
+
+    // The first attempt may have run, so "not run" would be false.
+    RelayFixture again;
     again.publish(pipeline(true));
     again.arrive(1, kSecond);
     again.handle(AttemptEnded {again.find<SendAttempt>()->attempt, AttemptStatus::Lost});
@@ -165,79 +165,83 @@
     CHECK(again.find<Reply>()->ran == Ran::Unknown);
 }
 
-TEST_CASE("a repeatable request is sent again only as often as its pipeline allows")
+TEST_CASE("a repeatable request is retried at most as often as its pipeline allows")
 {
     PipelineSpec spec = pipeline(true);
     spec.max_attempts = 2;
-    Bench bench;
-    bench.publish(spec);
-    bench.arrive(1, kSecond);
-    bench.handle(AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::Failed});
-    REQUIRE(bench.find<SendAttempt>());
-    bench.handle(AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::Failed});
-    CHECK_FALSE(bench.find<SendAttempt>());
-    CHECK(*bench.find<Reply>()->error == ErrorKind::UpstreamFailed);
+    RelayFixture fixture;
+    fixture.publish(spec);
+    fixture.arrive(1, kSecond);
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::Failed});
+    REQUIRE(fixture.find<SendAttempt>());
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::Failed});
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    CHECK(*fixture.find<Reply>()->error == ErrorKind::UpstreamFailed);
 }
 
-TEST_CASE("an upstream that can't be reached is reported to the leader that chose it")
+TEST_CASE("an unreachable upstream is reported to the leader that chose it")
 {
-    const auto begin = [](Bench& bench, Micros deadline) {
+    const auto begin = [](RelayFixture& fixture, Micros deadline) {
         PipelineSpec spec = pipeline(true);
         spec.stages[0].kind = StageKind::Generate;
-        bench.publish(spec);
-        bench.arrive(1, deadline, {}, true);
-        bench.handle(PreparationEnded {1, true, "a", "i2"});
-        REQUIRE(bench.find<SendAttempt>());
-        REQUIRE(bench.find<SendAttempt>()->upstream->identity == "i2");
+        fixture.publish(spec);
+        fixture.arrive(1, deadline, {}, true);
+        fixture.handle(PreparationEnded {1, true, "a", "i2"});
+        REQUIRE(fixture.find<SendAttempt>());
+        REQUIRE(fixture.find<SendAttempt>()->upstream->identity == "i2");
     };
-    Bench bench;
-    begin(bench, 10 * kSecond);
-    bench.handle(AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::NotSent});
-    CHECK(bench.find<ReportUnreached>());
-    // The next one was the router's choice.
-    const auto* second = bench.find<SendAttempt>();
+    RelayFixture fixture;
+    begin(fixture, 10 * kSecond);
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::NotSent});
+    CHECK(fixture.find<ReportUnreachable>());
+    // The second upstream was chosen by the router.
+    const auto* second = fixture.find<SendAttempt>();
     REQUIRE(second);
     CHECK(second->upstream->identity == "i1");
-    bench.handle(AttemptEnded {second->attempt, AttemptStatus::NotSent});
-    CHECK_FALSE(bench.find<ReportUnreached>());
+    fixture.handle(AttemptEnded {second->attempt, AttemptStatus::NotSent});
+    CHECK_FALSE(fixture.find<ReportUnreachable>());
 
-    Bench refused;
+    RelayFixture refused;
     begin(refused, 10 * kSecond);
     refused.handle(
         AttemptEnded {refused.find<SendAttempt>()->attempt, AttemptStatus::Overloaded});
-    CHECK_FALSE(refused.find<ReportUnreached>());
+    CHECK_FALSE(refused.find<ReportUnreachable>());
 
-    // With too little time left for a connection, its end says nothing.
-    Bench late;
+    // With too little time left to connect, a failure is no evidence of unreachability.
+    RelayFixture late;
     begin(late, 100 * kMillisecond);
     late.handle(AttemptEnded {late.find<SendAttempt>()->attempt, AttemptStatus::NotSent});
-    CHECK_FALSE(late.find<ReportUnreached>());
+    CHECK_FALSE(late.find<ReportUnreachable>());
 
-    Bench silent;
-    begin(silent, 20 * kSecond);
-    silent.now = 10 * kSecond;
-    silent.handle(Tick {});
-    CHECK(silent.find<ReportUnreached>());
+    RelayFixture unresponsive;
+    begin(unresponsive, 20 * kSecond);
+    unresponsive.now = 10 * kSecond;
+    unresponsive.handle(Tick {});
+    CHECK(unresponsive.find<ReportUnreachable>());
 }
 
-TEST_CASE("what never reached an upstream is not paid for, what did is")
+TEST_CASE("only attempts that reached an upstream are charged to the retry budget")
 {
     SchedulerOptions options;
     options.retry_ratio = 0;
     options.retry_burst = 0;
-    Bench bench(options);
-    bench.publish(pipeline(true));
-    bench.arrive(1, kSecond);
-    bench.handle(AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::NotSent});
-    REQUIRE(bench.find<SendAttempt>());
-    bench.handle(
-        AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::Overloaded});
-    CHECK_FALSE(bench.find<SendAttempt>());
-    REQUIRE(bench.find<Reply>());
-    CHECK(bench.find<Reply>()->ran == Ran::NotRun);
+    RelayFixture fixture(options);
+    fixture.publish(pipeline(true));
+    fixture.arrive(1, kSecond);
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::NotSent});
+    REQUIRE(fixture.find<SendAttempt>());
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::Overloaded});
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    REQUIRE(fixture.find<Reply>());
+    CHECK(fixture.find<Reply>()->ran == Ran::NotRun);
 }
 
-/// Sums of one kind of event over a sliding window.
+/// Counts events in a sliding window.
 class Window {
 public:
     void add(int at) { m_times.push_back(at); }
@@ -252,7 +256,8 @@
     std::deque<int> m_times;
 };
 
-TEST_CASE("retries of all daemons stay under the limit, also while herds are killed")
+TEST_CASE(
+    "retries of all daemons stay under the limit, also while many daemons are restarted")
 {
     constexpr int daemons = 9;
     constexpr int window = 10'000; // ms
@@ -264,7 +269,7 @@
         const auto fresh = [&] {
             return RetryBudget(RetryLimit::kForRetries * limit.ratio,
                                limit.burst(RetryLimit::kForRetries, daemons),
-                               limit.at_start(daemons));
+                               limit.initial_tokens(daemons));
         };
         std::vector<RetryBudget> budgets(daemons, fresh());
         Window first;
@@ -276,7 +281,7 @@
                 RetryBudget& budget = budgets[random() % daemons];
                 budget.earn();
                 first.add(now);
-                // Everything fails, and is tried again as often as it may be.
+                // Every attempt fails and is retried as often as the budget allows.
                 while (budget.spend())
                     again.add(now);
             }
@@ -291,7 +296,7 @@
     }
 }
 
-TEST_CASE("a daemon's part of the limit shrinks when others come")
+TEST_CASE("a daemon's share of the retry limit shrinks when daemons are added")
 {
     RetryLimit limit;
     limit.ratio = 0.2;
@@ -306,52 +311,51 @@
     CHECK_FALSE(budget.spend());
 }
 
-TEST_CASE("a caller that leaves takes its attempt along, whatever its kind")
+TEST_CASE("the attempt of a disconnected caller is cancelled, repeatable or not")
 {
     for (const bool repeatable : {true, false}) {
-        Bench bench;
-        bench.publish(pipeline(repeatable));
-        bench.arrive(1, kSecond);
-        const auto send = *bench.find<SendAttempt>();
-        bench.handle(CallerClosed {1});
-        REQUIRE(bench.find<CancelAttempt>());
-        CHECK(bench.find<CancelAttempt>()->attempt == send.attempt);
-        bench.handle(AttemptEnded {send.attempt, AttemptStatus::Lost});
-        CHECK(bench.find<Forget>());
-        CHECK(bench.scheduler().live() == 0);
+        RelayFixture fixture;
+        fixture.publish(pipeline(repeatable));
+        fixture.arrive(1, kSecond);
+        const auto send = *fixture.find<SendAttempt>();
+        fixture.handle(CallerClosed {1});
+        REQUIRE(fixture.find<CancelAttempt>());
+        CHECK(fixture.find<CancelAttempt>()->attempt == send.attempt);
+        fixture.handle(AttemptEnded {send.attempt, AttemptStatus::Lost});
+        CHECK(fixture.find<Forget>());
+        CHECK(fixture.scheduler().live() == 0);
     }
 }
 
 TEST_CASE("nothing is sent before the pieces are made")
 {
-    Bench bench;
-    bench.publish(pipeline(true), true);
-    bench.arrive(1, 4 * kSecond, {2});
-    CHECK_FALSE(bench.find<SendAttempt>());
-    REQUIRE(bench.find<BeginPreparation>());
-    bench.handle(PreparationEnded {1, true, "a", "i2"});
-    REQUIRE(bench.find<SendAttempt>());
-    CHECK(bench.find<SendAttempt>()->upstream->identity == "i2");
+    RelayFixture fixture;
+    fixture.publish(pipeline(true), true);
+    fixture.arrive(1, 4 * kSecond, {2});
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    REQUIRE(fixture.find<BeginPreparation>());
+    fixture.handle(PreparationEnded {1, true, "a", "i2"});
+    REQUIRE(fixture.find<SendAttempt>());
+    CHECK(fixture.find<SendAttempt>()->upstream->identity == "i2");
 }
 
 TEST_CASE("pieces that can't be made end the request as not run")
 {
-    Bench bench;
-    bench.publish(pipeline(false), true);
-    bench.arrive(1, 4 * kSecond, {2});
-    bench.handle(PreparationEnded {1, false, "", ""});
-    REQUIRE(bench.find<Reply>());
-    CHECK(bench.find<Reply>()->ran == Ran::NotRun);
-    CHECK(error_row(*bench.find<Reply>()->error).http_status == 503);
+    RelayFixture fixture;
+    fixture.publish(pipeline(false), true);
+    fixture.arrive(1, 4 * kSecond, {2});
+    fixture.handle(PreparationEnded {1, false, "", ""});
+    REQUIRE(fixture.find<Reply>());
+    CHECK(fixture.find<Reply>()->ran == Ran::NotRun);
+    CHECK(error_row(*fixture.find<Reply>()->error).http_status == 503);
 }
 
-TEST_CASE(
-    "a stop that ends answers what waits for pieces or a place, and nothing that runs")
+TEST_CASE("before the daemon exits, waiting requests are answered and running ones are not")
 {
-    Bench waiting;
+    RelayFixture waiting;
     waiting.publish(pipeline(false), true);
     waiting.arrive(1, 20 * kSecond, {2});
-    waiting.handle(StopEnds {});
+    waiting.handle(ShutdownImminent {});
     REQUIRE(waiting.find<Reply>());
     CHECK(waiting.find<Reply>()->error == ErrorKind::Stopping);
     CHECK(waiting.find<Reply>()->ran == Ran::NotRun);
@@ -360,8 +364,8 @@
     CHECK_FALSE(waiting.find<SendAttempt>());
     CHECK(waiting.scheduler().live() == 0);
 
-    // Sent before, it may have run: the answer must not promise that it has not.
-    Bench again;
+    // An earlier attempt may have run, so the answer must not guarantee that it has not.
+    RelayFixture again;
     again.publish(pipeline(true), true);
     again.arrive(1, 20 * kSecond, {2});
     again.handle(PreparationEnded {1, true, "a", ""});
@@ -369,147 +373,149 @@
     again.handle(InputsRead {first});
     again.handle(AttemptEnded {first, AttemptStatus::Lost});
     REQUIRE(again.find<BeginPreparation>());
-    again.handle(StopEnds {});
+    again.handle(ShutdownImminent {});
     REQUIRE(again.find<Reply>());
     CHECK(again.find<Reply>()->ran != Ran::NotRun);
 
-    Bench running;
+    RelayFixture running;
     running.publish(pipeline(false));
     running.arrive(1, 20 * kSecond);
     REQUIRE(running.find<SendAttempt>());
-    running.handle(StopEnds {});
+    running.handle(ShutdownImminent {});
     CHECK_FALSE(running.find<Reply>());
     CHECK_FALSE(running.find<CancelAttempt>());
 }
 
-TEST_CASE("a result that is gone sends the request back to its preparation")
+TEST_CASE("a request whose input result no longer exists is prepared again")
 {
-    Bench bench;
-    bench.publish(pipeline(false), true);
-    bench.arrive(1, 4 * kSecond, {2});
-    bench.handle(PreparationEnded {1, true, "a", ""});
-    bench.handle(
-        AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::InputGone});
-    CHECK(bench.find<BeginPreparation>());
-    CHECK_FALSE(bench.find<SendAttempt>());
+    RelayFixture fixture;
+    fixture.publish(pipeline(false), true);
+    fixture.arrive(1, 4 * kSecond, {2});
+    fixture.handle(PreparationEnded {1, true, "a", ""});
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::InputGone});
+    CHECK(fixture.find<BeginPreparation>());
+    CHECK_FALSE(fixture.find<SendAttempt>());
 }
 
 TEST_CASE("results are released when they are read, and made again for a retry")
 {
-    Bench bench;
-    bench.publish(pipeline(true), true);
-    bench.arrive(1, 4 * kSecond, {2});
-    CHECK_FALSE(bench.find<BeginPreparation>()->again);
-    bench.handle(PreparationEnded {1, true, "a", ""});
-    const AttemptId first = bench.find<SendAttempt>()->attempt;
-    CHECK_FALSE(bench.find<ReleaseInputs>());
-    bench.handle(InputsRead {first});
-    REQUIRE(bench.find<ReleaseInputs>());
-    // Told twice, they are released once.
-    bench.handle(InputsRead {first});
-    CHECK_FALSE(bench.find<ReleaseInputs>());
-    bench.handle(AttemptEnded {first, AttemptStatus::Lost});
-    CHECK_FALSE(bench.find<SendAttempt>());
-    REQUIRE(bench.find<BeginPreparation>());
-    CHECK(bench.find<BeginPreparation>()->again);
-    CHECK(bench.find<BeginPreparation>()->deadline == 4 * kSecond);
-    bench.handle(PreparationEnded {1, true, "a", ""});
-    CHECK(bench.find<SendAttempt>());
+    RelayFixture fixture;
+    fixture.publish(pipeline(true), true);
+    fixture.arrive(1, 4 * kSecond, {2});
+    CHECK_FALSE(fixture.find<BeginPreparation>()->again);
+    fixture.handle(PreparationEnded {1, true, "a", ""});
+    const AttemptId first = fixture.find<SendAttempt>()->attempt;
+    CHECK_FALSE(fixture.find<ReleaseInputs>());
+    fixture.handle(InputsRead {first});
+    REQUIRE(fixture.find<ReleaseInputs>());
+    // A repeated event releases them only once.
+    fixture.handle(InputsRead {first});
+    CHECK_FALSE(fixture.find<ReleaseInputs>());
+    fixture.handle(AttemptEnded {first, AttemptStatus::Lost});
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    REQUIRE(fixture.find<BeginPreparation>());
+    CHECK(fixture.find<BeginPreparation>()->again);
+    CHECK(fixture.find<BeginPreparation>()->deadline == 4 * kSecond);
+    fixture.handle(PreparationEnded {1, true, "a", ""});
+    CHECK(fixture.find<SendAttempt>());
 }
 
-TEST_CASE("a retry that finds its results unread uses them")
+TEST_CASE("a retry uses results that have not been read")
 {
-    Bench bench;
-    bench.publish(pipeline(true), true);
-    bench.arrive(1, 4 * kSecond, {2});
-    bench.handle(PreparationEnded {1, true, "a", ""});
-    bench.handle(AttemptEnded {bench.find<SendAttempt>()->attempt, AttemptStatus::Lost});
-    CHECK_FALSE(bench.find<BeginPreparation>());
-    CHECK(bench.find<SendAttempt>());
+    RelayFixture fixture;
+    fixture.publish(pipeline(true), true);
+    fixture.arrive(1, 4 * kSecond, {2});
+    fixture.handle(PreparationEnded {1, true, "a", ""});
+    fixture.handle(
+        AttemptEnded {fixture.find<SendAttempt>()->attempt, AttemptStatus::Lost});
+    CHECK_FALSE(fixture.find<BeginPreparation>());
+    CHECK(fixture.find<SendAttempt>());
 }
 
-TEST_CASE("a request that ends while it is prepared gives the preparation up")
+TEST_CASE("a request that ends while it is being prepared cancels its preparation")
 {
-    Bench bench;
-    bench.publish(pipeline(true), true);
-    bench.arrive(1, 4 * kSecond, {2});
-    bench.handle(CallerClosed {1});
-    CHECK(bench.find<CancelPreparation>());
-    CHECK(bench.scheduler().live() == 0);
-    bench.handle(PreparationEnded {1, true, "a", ""});
-    CHECK(bench.actions.empty());
+    RelayFixture fixture;
+    fixture.publish(pipeline(true), true);
+    fixture.arrive(1, 4 * kSecond, {2});
+    fixture.handle(CallerClosed {1});
+    CHECK(fixture.find<CancelPreparation>());
+    CHECK(fixture.scheduler().live() == 0);
+    fixture.handle(PreparationEnded {1, true, "a", ""});
+    CHECK(fixture.actions.empty());
 }
 
-TEST_CASE("a silent upstream gets nothing more, and what may be repeated goes elsewhere")
+TEST_CASE("an unresponsive upstream gets no more calls, and repeatable ones are retried "
+          "elsewhere")
 {
     for (const bool repeatable : {true, false}) {
-        Bench bench;
-        bench.publish(pipeline(repeatable));
-        bench.arrive(1, 8 * kSecond);
-        const auto send = *bench.find<SendAttempt>();
-        bench.now = kSecond - 1;
-        bench.handle(Tick {});
-        CHECK(bench.actions.empty());
-        bench.now = kSecond;
-        bench.handle(Tick {});
-        CHECK((bench.find<CancelAttempt>() != nullptr) == repeatable);
-        CHECK(send.upstream->ejected_until > bench.now);
-        bench.arrive(2, 8 * kSecond);
-        CHECK(bench.find<SendAttempt>()->upstream != send.upstream);
-        bench.handle(AttemptEnded {send.attempt, AttemptStatus::Lost});
-        CHECK((bench.find<SendAttempt>() != nullptr) == repeatable);
+        RelayFixture fixture;
+        fixture.publish(pipeline(repeatable));
+        fixture.arrive(1, 8 * kSecond);
+        const auto send = *fixture.find<SendAttempt>();
+        fixture.now = kSecond - 1;
+        fixture.handle(Tick {});
+        CHECK(fixture.actions.empty());
+        fixture.now = kSecond;
+        fixture.handle(Tick {});
+        CHECK((fixture.find<CancelAttempt>() != nullptr) == repeatable);
+        CHECK(send.upstream->ejected_until > fixture.now);
+        fixture.arrive(2, 8 * kSecond);
+        CHECK(fixture.find<SendAttempt>()->upstream != send.upstream);
+        fixture.handle(AttemptEnded {send.attempt, AttemptStatus::Lost});
+        CHECK((fixture.find<SendAttempt>() != nullptr) == repeatable);
     }
 }
 
-TEST_CASE("an upstream that answers others meanwhile is not silent")
+TEST_CASE("an upstream that answers other calls meanwhile is not unresponsive")
 {
-    Bench bench;
-    bench.publish(pipeline(true));
-    bench.arrive(1, 8 * kSecond);
-    const auto first = *bench.find<SendAttempt>();
-    bench.now = 500 * kMillisecond;
+    RelayFixture fixture;
+    fixture.publish(pipeline(true));
+    fixture.arrive(1, 8 * kSecond);
+    const auto first = *fixture.find<SendAttempt>();
+    fixture.now = 500 * kMillisecond;
     RequestId id = 2;
     for (;; ++id) {
-        bench.arrive(id, 8 * kSecond);
-        const auto other = *bench.find<SendAttempt>();
-        bench.handle(AttemptBegun {other.attempt});
+        fixture.arrive(id, 8 * kSecond);
+        const auto other = *fixture.find<SendAttempt>();
+        fixture.handle(ResponseStarted {other.attempt});
         if (other.upstream == first.upstream)
             break;
         REQUIRE(id < 9);
     }
-    bench.now = kSecond;
-    bench.handle(Tick {});
-    CHECK_FALSE(bench.find<CancelAttempt>());
-    CHECK(first.upstream->ejected_until <= bench.now);
+    fixture.now = kSecond;
+    fixture.handle(Tick {});
+    CHECK_FALSE(fixture.find<CancelAttempt>());
+    CHECK(first.upstream->ejected_until <= fixture.now);
 }
 
-TEST_CASE("an upstream that has begun to answer is not silent")
+TEST_CASE("an upstream that has started to answer is not unresponsive")
 {
-    Bench bench;
-    bench.publish(pipeline(true));
-    bench.arrive(1, 8 * kSecond);
-    const auto send = *bench.find<SendAttempt>();
-    bench.handle(AttemptBegun {send.attempt});
-    bench.now = 2 * kSecond;
-    bench.handle(Tick {});
-    CHECK(bench.actions.empty());
-    CHECK(send.upstream->ejected_until <= bench.now);
+    RelayFixture fixture;
+    fixture.publish(pipeline(true));
+    fixture.arrive(1, 8 * kSecond);
+    const auto send = *fixture.find<SendAttempt>();
+    fixture.handle(ResponseStarted {send.attempt});
+    fixture.now = 2 * kSecond;
+    fixture.handle(Tick {});
+    CHECK(fixture.actions.empty());
+    CHECK(send.upstream->ejected_until <= fixture.now);
 }
 
-TEST_CASE("at the deadline a request is answered, run or not")
+TEST_CASE("a request is answered at its deadline, whether it has run or not")
 {
-    Bench bench;
-    bench.publish(pipeline(false));
-    bench.arrive(1, kSecond);
-    bench.now = kSecond;
-    bench.handle(Tick {});
-    REQUIRE(bench.find<Reply>());
-    CHECK(bench.find<Reply>()->ran == Ran::Unknown);
-    CHECK(error_row(*bench.find<Reply>()->error).http_status == 504);
-    CHECK(bench.find<CancelAttempt>());
+    RelayFixture fixture;
+    fixture.publish(pipeline(false));
+    fixture.arrive(1, kSecond);
+    fixture.now = kSecond;
+    fixture.handle(Tick {});
+    REQUIRE(fixture.find<Reply>());
+    CHECK(fixture.find<Reply>()->ran == Ran::Unknown);
+    CHECK(error_row(*fixture.find<Reply>()->error).http_status == 504);
+    CHECK(fixture.find<CancelAttempt>());
 }
 
-TEST_CASE("an upstream that leaves the list gets nothing, also under older snapshots")
+TEST_CASE("an upstream removed from the list gets no calls, also under older snapshots")
 {
     UpstreamTable table("a");
     Bundle bundle;
@@ -526,13 +532,13 @@
                                     {"i9", "set", "10.0.0.1:1", "a", 0, false}});
     CHECK(old->sets[0].own[0]->leaving);
     CHECK_FALSE(old->sets[0].own[1]->leaving);
-    // The address has another upstream now.
+    // The address now belongs to another upstream.
     REQUIRE(fresh->sets[0].own.size() == 2);
     CHECK(fresh->sets[0].own[1]->identity == "i9");
     CHECK_FALSE(fresh->sets[0].own[1]->leaving);
 }
 
-TEST_CASE("the longest prefix of the host decides, and weights split it")
+TEST_CASE("the longest matching path prefix of a host is selected, split by weights")
 {
     UpstreamTable table("a");
     Bundle bundle;
@@ -569,24 +575,25 @@
     CHECK(name("/c/", 1ULL << 63) == "many");
 }
 
-TEST_CASE("a call that hangs does not hold up the next where a share is less than a slot")
+TEST_CASE("a hanging call does not block the next one where a share is less than a slot")
 {
     SchedulerOptions options;
     options.daemons_in_hall = 60;
-    Bench bench(options);
-    bench.publish(pipeline(false));
-    bench.arrive(1, 10 * kSecond);
-    REQUIRE(bench.find<SendAttempt>());
-    // It is not answered, and the next request goes all the same.
-    bench.now = 100 * kMillisecond;
-    bench.arrive(2, bench.now + kSecond);
-    const auto* second = bench.find<SendAttempt>();
+    RelayFixture fixture(options);
+    fixture.publish(pipeline(false));
+    fixture.arrive(1, 10 * kSecond);
+    REQUIRE(fixture.find<SendAttempt>());
+    // The first request is not answered, and the second is still sent.
+    fixture.now = 100 * kMillisecond;
+    fixture.arrive(2, fixture.now + kSecond);
+    const auto* second = fixture.find<SendAttempt>();
     REQUIRE(second);
-    // Of 8 slots 60 daemons have 0.13 each; more than two calls would be too many.
-    bench.arrive(3, bench.now + kSecond);
-    CHECK_FALSE(bench.find<SendAttempt>());
-    bench.handle(AttemptEnded {second->attempt, AttemptStatus::Ok});
-    CHECK(bench.find<SendAttempt>());
+    // Of 8 slots, each of 60 daemons has a share of 0.13; more than two calls would be too
+    // many.
+    fixture.arrive(3, fixture.now + kSecond);
+    CHECK_FALSE(fixture.find<SendAttempt>());
+    fixture.handle(AttemptEnded {second->attempt, AttemptStatus::Ok});
+    CHECK(fixture.find<SendAttempt>());
 }
 
 } // namespace
--- a/src/libcypressford/request.cpp
+++ b/src/libcypressford/request.cpp
@@ -13,7 +13,7 @@
     if (mutated(Mutation::FalseNotRun))
         return kind == ErrorKind::DeadlineExceeded ? ErrorKind::DeadlineUnreachable : kind;
     const bool sent = request.may_have_run > 0;
-    if (request.once_may_have_run
+    if (request.non_repeatable_may_have_run
         && (kind == ErrorKind::DeadlineExceeded || kind == ErrorKind::UpstreamFailed))
         return ErrorKind::OutcomeUnknown;
     if (sent && kind == ErrorKind::DeadlineUnreachable)
--- a/src/libcypressford/request.h
+++ b/src/libcypressford/request.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a scheduler keeps of one request.
+/// State that a scheduler keeps for one request.
 
 #pragma once
 
@@ -15,26 +15,26 @@
 
 namespace cypressford {
 
-/// One call that is under way.
+/// One call in flight.
 struct Attempt {
     AttemptId id = 0;
     RequestId request = 0;
     std::size_t stage = 0;
     std::shared_ptr<UpstreamState> upstream;
     Micros sent_at = 0;
-    bool begun = false; ///< the upstream has begun to answer
-    bool probe = false; ///< the one trial call of an ejected upstream
-    bool cancelled = false; ///< its end changes nothing any more
-    bool once = false; ///< may not be repeated
+    bool response_started = false; ///< the upstream has started to answer
+    bool probe = false; ///< the single trial call of an ejected upstream
+    bool cancelled = false; ///< the outcome no longer affects the request
+    bool non_repeatable = false; ///< must not run twice
 };
 
-/// Whether the claim for a request's key is ours to end.
+/// State of the claim for a request's key, and whether this request has to end it.
 enum class ClaimState : unsigned char { None, Pending, Won, Ended };
 
-/// Whether pieces and upstream of a request are settled.
+/// Whether the pieces are made and the upstream is chosen.
 enum class PreparationState : unsigned char { Wanted, Pending, Made };
 
-/// Facts of one request; the order of its steps is in RequestMachine.
+/// Data of one request; the order of its steps is in RequestMachine.
 struct Request {
     RequestSpec spec;
     Micros arrived = 0;
@@ -42,25 +42,25 @@
     ClaimState claim = ClaimState::None;
     PreparationState preparation = PreparationState::Wanted;
     bool prepared_before = false; ///< its pieces were made at least once
-    Micros preparing_since = 0; ///< when they were asked for
-    std::string prepared_hall; ///< where most of the results are
-    std::string prepared_identity; ///< of the upstream that is to have it
-    bool prepared_is_counted = false; ///< its leader has counted it against a limit
-    std::string placed_at; ///< the same, also once it was sent
-    bool queued = false; ///< stands in the queue of its stage
+    Micros preparing_since = 0; ///< when the preparation was requested
+    std::string prepared_hall; ///< hall with most of the results
+    std::string prepared_identity; ///< identity of the chosen upstream; cleared once sent
+    bool prepared_is_counted = false; ///< counted by the leader against the limit
+    std::string placed_identity; ///< like prepared_identity, but kept once sent
+    bool queued = false; ///< in the queue of its stage
     bool replied = false;
-    bool ended = false; ///< to be forgotten once no attempt is left
-    int may_have_run = 0; ///< attempts sent and not proven unrun
-    bool once_may_have_run = false;
+    bool ended = false; ///< to be dropped when no attempt is left
+    int may_have_run = 0; ///< attempts sent and not known to be unrun
+    bool non_repeatable_may_have_run = false;
     int attempts_of_stage = 0;
-    int unreached = 0; ///< attempts of the present stage that were never sent
+    int unreached = 0; ///< attempts of the current stage that were never sent
     bool last_unreached = false; ///< the last attempt was never sent
     ErrorKind last_failure = ErrorKind::UpstreamFailed;
-    Micros come_back_after = 0; ///< if it is refused; 0: not known
-    std::vector<AttemptId> running; ///< not cancelled
-    int open_attempts = 0; ///< cancelled ones included
-    std::vector<const UpstreamState*> tried; ///< for the present stage
-    std::array<Micros, kMaxStages> committed {}; ///< service time promised, by stage
+    Micros retry_after = 0; ///< sent to the caller if the request is refused; 0: unknown
+    std::vector<AttemptId> running; ///< attempts in flight, without cancelled ones
+    int open_attempts = 0; ///< attempts in flight, with cancelled ones
+    std::vector<const UpstreamState*> tried; ///< upstreams tried for the current stage
+    std::array<Micros, kMaxStages> committed {}; ///< admitted service time, by stage
 
     const ResolvedPipeline& pipeline() const
     {
@@ -78,14 +78,14 @@
     }
     int priority() const { return pipeline().spec.priority; }
 
-    /// True if the present stage may run once only and nothing but the claim
-    /// keeps it from running twice.
+    /// True if the current stage must not run twice and only the claim prevents it.
     bool stage_needs_claim() const
     {
         return !stage_spec().repeatable && !set().spec.deduplicates;
     }
     bool is_relayed() const { return pipeline().spec.relayed; }
-    /// Pieces are made, and an upstream is chosen, before the first stage.
+    /// True if pieces must be made, or an upstream chosen by the leader, before the stage
+    /// is sent.
     bool lacks_preparation() const
     {
         return preparation == PreparationState::Wanted
@@ -93,11 +93,11 @@
     }
 };
 
-/// The kind that is true of a request that is aborted: whether anything was
-/// sent decides between the kinds that promise "not run" and those that don't.
+/// The error kind to report for an aborted request.  Kinds that guarantee "not run" are
+/// replaced if an attempt may have run, and others by such a kind if none was sent.
 ErrorKind settle_kind(ErrorKind kind, const Request& request);
 
-/// What the caller may conclude.
+/// Whether the request ran, as reported to the caller.
 Ran settle_ran(ErrorKind kind, const Request& request);
 
 } // namespace cypressford
--- a/src/libcypressford/request_machine.cpp
+++ b/src/libcypressford/request_machine.cpp
@@ -58,7 +58,7 @@
     void detach(const Abort&) { host->reply_unknown(); }
     void settle_done(const StageDone&) { host->settle(true); }
     void settle_lost(const AttemptLost&) { host->settle(false); }
-    void settle_given_up(const Abort&) { host->settle(false); }
+    void settle_aborted(const Abort&) { host->settle(false); }
 
     bool is_last(const StageDone&) { return host->at_last_stage(); }
     bool is_not_last(const StageDone&) { return !host->at_last_stage(); }
@@ -67,12 +67,12 @@
     {
         return !host->others_running() && host->may_retry();
     }
-    bool runs_once(const Abort&) { return host->once_running(); }
-    bool runs_not_once(const Abort&) { return !host->once_running(); }
+    bool has_non_repeatable(const Abort&) { return host->non_repeatable_running(); }
+    bool has_only_repeatable(const Abort&) { return !host->non_repeatable_running(); }
 
     using D = Definition;
     // Rows with the same source and event are tried from the last to the first.
-    // MSM gives the table its name.
+    // The name of the table is required by MSM.
     // clang-format off
     // NOLINTNEXTLINE(readability-identifier-naming)
     struct transition_table : mpl::vector<
@@ -90,15 +90,15 @@
         a_row<Running,  AttemptLost,   Finished, &D::fail>,
           row<Running,  AttemptLost,   Waiting,  &D::retry,      &D::can_retry>,
          irow<Running,  AttemptLost,             &D::wait_for_others, &D::has_others>,
-          row<Running,  Abort,        Finished, &D::abandon,    &D::runs_not_once>,
-          row<Running,  Abort,        Detached, &D::detach,     &D::runs_once>,
+          row<Running,  Abort,        Finished, &D::abandon,    &D::has_only_repeatable>,
+          row<Running,  Abort,        Detached, &D::detach,     &D::has_non_repeatable>,
         a_row<Detached, StageDone,     Finished, &D::settle_done>,
         a_row<Detached, AttemptLost,   Finished, &D::settle_lost>,
-        a_row<Detached, Abort,        Finished, &D::settle_given_up>
+        a_row<Detached, Abort,        Finished, &D::settle_aborted>
     > { };
     // clang-format on
 
-    /// Events that come too late for the state are expected and ignored.
+    /// Events that arrive too late for the current state are expected and ignored.
     template <class Machine, class Event>
     void no_transition(const Event&, Machine&, int) { }
 };
@@ -180,8 +180,8 @@
 RequestState
 RequestMachine::state() const
 {
-    // MSM numbers the states by their first appearance in the table, so the
-    // order of ids is asked of the back end instead of being assumed.
+    // MSM numbers the states by their first appearance in the table, so the ids are queried
+    // instead of assumed.
     using Table = Backend::stt;
     namespace back = msm::back;
     const int id = m_impl->backend.current_state()[0];
--- a/src/libcypressford/request_machine.h
+++ b/src/libcypressford/request_machine.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The states that a request goes through.  The machine knows the order of
-/// things; what each step does is its host's.
+/// State machine of a request.  It defines the order of the steps; its host carries them
+/// out.
 
 #pragma once
 
@@ -13,28 +13,29 @@
 
 namespace cypressford {
 
-/// What the machine asks of the scheduler, for one request.
+/// Operations of the scheduler that the state machine of one request calls.
 class RequestHost {
 public:
     virtual ~RequestHost() = default;
 
-    virtual void send() = 0; ///< one attempt of the present stage
+    virtual void send() = 0; ///< sends one attempt of the current stage
     virtual void begin_claim() = 0;
     virtual void begin_preparation() = 0;
     virtual void next_stage() = 0;
     virtual void complete() = 0; ///< the last stage is done
     virtual void abort(ErrorKind kind) = 0;
-    virtual void reply_unknown() = 0; ///< the caller's time is over, the run goes on
-    virtual void settle(bool done) = 0; ///< a run that outlived its caller has ended
+    virtual void reply_unknown() = 0; ///< answers the caller while the attempt continues
+    virtual void settle(bool done) = 0; ///< an attempt that outlived its caller has ended
 
     virtual bool at_last_stage() const = 0;
-    virtual bool may_retry() = 0; ///< pays for the retry if it allows one
-    virtual bool others_running() const = 0; ///< another attempt is still under way
-    virtual bool once_running() const = 0; ///< a non-repeatable attempt is under way
+    virtual bool may_retry() = 0; ///< if true, the retry is charged to the retry budget
+    virtual bool others_running() const = 0; ///< another attempt is still in flight
+    /// True if a non-repeatable attempt is in flight.
+    virtual bool non_repeatable_running() const = 0;
     virtual ErrorKind failure_kind() const = 0;
 };
 
-/// Where a request is in its life.
+/// State of a request.
 enum class RequestState : unsigned char {
     Waiting,
     Claiming,
@@ -44,7 +45,7 @@
     Finished
 };
 
-/// State machine of one request (Boost.MSM behind it).
+/// State machine of one request (implemented with Boost.MSM).
 class RequestMachine {
 public:
     explicit RequestMachine(RequestHost& host);
--- a/src/libcypressford/rest_load_test.cpp
+++ b/src/libcypressford/rest_load_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What callers get when all upstreams of a set ask for rest under load.
+/// Answers to callers while all upstreams of a set request a backoff under load.
 
 #include <algorithm>
 #include <map>
@@ -17,41 +17,41 @@
 
 constexpr Micros kStep = 5 * kMillisecond;
 constexpr Micros kServiceTime = 50 * kMillisecond;
-constexpr Micros kAim = kSecond;
+constexpr Micros kTargetLatency = kSecond;
 constexpr Micros kDeadline = 10 * kSecond; // as Fleet::arrive() sets it
 constexpr Micros kShedFrom = 2 * kSecond;
 constexpr Micros kShedUntil = kShedFrom + 300 * kMillisecond;
-constexpr Micros kRest = 3 * kSecond;
-constexpr Micros kLasts = 14 * kSecond;
+constexpr Micros kBackoff = 3 * kSecond;
+constexpr Micros kArrivalPeriod = 14 * kSecond;
 
-/// What became of the callers of one play.
+/// Counts of one run.
 struct Outcome {
-    int prompt = 0; ///< answered in the time they aim at, from their first try
-    int late = 0;
-    int lost = 0; ///< refused at their second try, too
-    int asked_resting = 0; ///< calls that came to an upstream during its rest
+    int prompt = 0; ///< callers answered within the target latency of their first try
+    int late = 0; ///< callers answered later
+    int lost = 0; ///< callers refused at both tries
+    int calls_in_backoff = 0; ///< calls sent to an upstream during its backoff
 };
 
-/// Two upstreams with four slots each bear 160 requests a second; 120 come.  For 0.3 s both
-/// turn all calls away and ask for 3 s of rest.  Callers that are refused come back once,
-/// when they are told to, but after a third of their time at most.
-class RestDay {
+/// Two upstreams with four slots each can serve 160 requests per second; 120 arrive.  For
+/// 0.3 s both reject all calls and request a backoff of 3 s.  Refused callers retry once,
+/// after the given time, but after a third of their remaining time at most.
+class BackoffLoad {
 public:
-    RestDay(double spread, unsigned seed)
+    BackoffLoad(double jitter, unsigned seed)
         : m_random(seed)
-        , m_fleet(spec_of(spread), [this] { return m_random(); })
+        , m_fleet(spec_of(jitter), [this] { return m_random(); })
     {
     }
 
-    Outcome play()
+    Outcome run()
     {
-        for (; m_fleet.now < kLasts + kDeadline; m_fleet.now += kStep) {
+        for (; m_fleet.now < kArrivalPeriod + kDeadline; m_fleet.now += kStep) {
             end_calls();
-            if (m_fleet.now < kLasts && m_random() % 10 < 6)
+            if (m_fleet.now < kArrivalPeriod && m_random() % 10 < 6)
                 arrive(m_fleet.now, true);
-            while (!m_back.empty() && m_back.begin()->first <= m_fleet.now) {
-                const Micros first = m_back.begin()->second;
-                m_back.erase(m_back.begin());
+            while (!m_retries.empty() && m_retries.begin()->first <= m_fleet.now) {
+                const Micros first = m_retries.begin()->second;
+                m_retries.erase(m_retries.begin());
                 arrive(first, false);
             }
             m_fleet.handle(Tick {});
@@ -62,8 +62,8 @@
 
 private:
     struct Caller {
-        Micros first = 0; ///< when it came first
-        bool may_come_back = false;
+        Micros first = 0; ///< time of the first try
+        bool may_retry = false;
     };
     struct Call {
         SendAttempt send;
@@ -71,17 +71,17 @@
         AttemptStatus status = AttemptStatus::Ok;
     };
 
-    static FleetSpec spec_of(double spread)
+    static FleetSpec spec_of(double jitter)
     {
         FleetSpec spec;
-        spec.options.rest_spread = spread;
-        spec.target_latency = kAim;
+        spec.options.backoff_jitter = jitter;
+        spec.target_latency = kTargetLatency;
         return spec;
     }
 
-    void arrive(Micros first, bool may_come_back)
+    void arrive(Micros first, bool may_retry)
     {
-        m_callers[m_fleet.last_request() + 1] = {first, may_come_back};
+        m_callers[m_fleet.last_request() + 1] = {first, may_retry};
         m_fleet.arrive();
         act();
     }
@@ -115,10 +115,10 @@
     void begin(const SendAttempt& send)
     {
         SelfReport& said = *send.upstream->said;
-        m_outcome.asked_resting += said.rests(m_fleet.now) ? 1 : 0;
+        m_outcome.calls_in_backoff += said.rests(m_fleet.now) ? 1 : 0;
         const bool sheds = m_fleet.now >= kShedFrom && m_fleet.now < kShedUntil;
         if (sheds)
-            said.note_rest(m_fleet.now + kRest);
+            said.note_rest(m_fleet.now + kBackoff);
         m_calls.push_back({send, m_fleet.now + (sheds ? kStep : kServiceTime),
                            sheds ? AttemptStatus::Overloaded : AttemptStatus::Ok});
     }
@@ -128,11 +128,11 @@
         const Caller caller = m_callers.at(reply.request);
         const Micros took = m_fleet.now - caller.first;
         if (!reply.error) {
-            ++(took <= kAim ? m_outcome.prompt : m_outcome.late);
-        } else if (caller.may_come_back) {
+            ++(took <= kTargetLatency ? m_outcome.prompt : m_outcome.late);
+        } else if (caller.may_retry) {
             const Micros left = kDeadline - took;
-            m_back.emplace(m_fleet.now + std::min(reply.retry_after, left / 3),
-                           caller.first);
+            m_retries.emplace(m_fleet.now + std::min(reply.retry_after, left / 3),
+                              caller.first);
         } else {
             ++m_outcome.lost;
         }
@@ -141,37 +141,38 @@
     std::mt19937_64 m_random;
     Fleet m_fleet;
     std::map<RequestId, Caller> m_callers;
-    std::multimap<Micros, Micros> m_back; ///< when they come back, when they came first
+    std::multimap<Micros, Micros> m_retries; ///< time of the retry, time of the first try
     std::vector<Call> m_calls;
     Outcome m_outcome;
 };
 
 Outcome
-play_all(double spread)
+run_all(double jitter)
 {
     Outcome sum;
     for (unsigned seed = 0; seed < 10; ++seed) {
-        const Outcome one = RestDay(spread, seed).play();
+        const Outcome one = BackoffLoad(jitter, seed).run();
         sum.prompt += one.prompt;
         sum.late += one.late;
         sum.lost += one.lost;
-        sum.asked_resting += one.asked_resting;
+        sum.calls_in_backoff += one.calls_in_backoff;
     }
     return sum;
 }
 
-TEST_CASE("callers that are refused during a rest come back spread over part of its length")
+TEST_CASE("retries of callers refused during a backoff are spread over part of its length")
 {
-    std::map<double, Outcome> by_spread;
-    for (const double spread : {0.0, 0.1, 0.25, 0.5, 1.0}) {
-        const Outcome& one = by_spread[spread] = play_all(spread);
-        MESSAGE("spread over " << spread << " of the rest: " << one.prompt << " prompt, "
-                               << one.late << " late, " << one.lost << " refused twice");
-        CHECK(one.asked_resting == 0);
+    std::map<double, Outcome> by_jitter;
+    for (const double jitter : {0.0, 0.1, 0.25, 0.5, 1.0}) {
+        const Outcome& one = by_jitter[jitter] = run_all(jitter);
+        MESSAGE("jitter of " << jitter << " of the backoff: " << one.prompt << " prompt, "
+                             << one.late << " late, " << one.lost << " refused twice");
+        CHECK(one.calls_in_backoff == 0);
     }
-    // As set: as many served as by any other, and nearly as many in time as by none.
-    const Outcome& set = by_spread[SchedulerOptions {}.rest_spread];
-    for (const auto& [spread, other] : by_spread) {
+    // The default serves as many callers as any other jitter, and nearly as many in time as
+    // no jitter.
+    const Outcome& set = by_jitter[SchedulerOptions {}.backoff_jitter];
+    for (const auto& [jitter, other] : by_jitter) {
         CHECK(set.prompt + set.late >= 0.99 * (other.prompt + other.late));
         CHECK(set.prompt >= 0.98 * other.prompt);
     }
--- a/src/libcypressford/scheduler.cpp
+++ b/src/libcypressford/scheduler.cpp
@@ -42,12 +42,12 @@
 }
 
 void
-Scheduler::Impl::on(const AttemptBegun& event)
+Scheduler::Impl::on(const ResponseStarted& event)
 {
     const auto it = attempts.find(event.attempt);
     if (it == attempts.end())
         return;
-    it->second.begun = true;
+    it->second.response_started = true;
     it->second.upstream->answered_at.store(now, std::memory_order_relaxed);
 }
 
@@ -62,7 +62,7 @@
     attempt.upstream->in_flight.fetch_sub(1, std::memory_order_relaxed);
     if (attempt.probe)
         attempt.upstream->probing.store(false, std::memory_order_relaxed);
-    observe(attempt, event.status);
+    record_outcome(attempt, event.status);
     auto entry_it = entries.find(attempt.request);
     if (entry_it == entries.end())
         return;
@@ -72,7 +72,7 @@
     mark_dirty(set);
     settle_attempt(entry, attempt, event.status);
     advance(entry);
-    forget_if_over(entry);
+    forget_if_ended(entry);
 }
 
 void
@@ -84,7 +84,8 @@
     Entry& entry = *it->second;
     if (event.result == ClaimResult::Won) {
         entry.request.claim = ClaimState::Won;
-        // A holder that was paused finds out here, before it sends anything.
+        // A process that was suspended during the claim may be past the deadline; this
+        // check comes before anything is sent.
         if (now >= entry.request.spec.deadline)
             entry.machine.abort(ErrorKind::DeadlineExceeded);
         else
@@ -97,7 +98,7 @@
             entry.machine.abort(claim_error(event.result));
     }
     advance(entry);
-    forget_if_over(entry);
+    forget_if_ended(entry);
 }
 
 void
@@ -108,7 +109,7 @@
         return;
     Entry& entry = *it->second;
     entry.machine.abort(ErrorKind::CallerGone);
-    forget_if_over(entry);
+    forget_if_ended(entry);
 }
 
 void
@@ -125,18 +126,18 @@
         request.prepared_hall = event.hall;
         request.prepared_identity = event.identity;
         request.prepared_is_counted = event.is_counted;
-        request.placed_at = event.identity;
+        request.placed_identity = event.identity;
         entry.machine.preparation_made();
     } else {
         request.preparation = PreparationState::Wanted;
         entry.machine.abort(ErrorKind::NoUpstream);
     }
     advance(entry);
-    forget_if_over(entry);
+    forget_if_ended(entry);
 }
 
-/// Memory for results is scarce, so they are released as soon as they were read.  A
-/// later attempt has them made again.
+/// Memory for results is scarce, so results are released as soon as they have been read.
+/// A later attempt has them made again.
 void
 Scheduler::Impl::on(const InputsRead& event)
 {
@@ -155,10 +156,10 @@
     out->push_back(ReleaseInputs {request.spec.id});
 }
 
-/// A caller whose connection is closed with the process learns neither that its request has
-/// not run nor when to come back.
+/// Without an answer, a caller whose connection closes when the process exits has neither
+/// the guarantee that its request did not run nor a retry-after time.
 void
-Scheduler::Impl::on(const StopEnds&)
+Scheduler::Impl::on(const ShutdownImminent&)
 {
     std::vector<RequestId> waiting;
     for (const auto& [id, entry] : entries)
@@ -170,7 +171,7 @@
             continue;
         Entry& entry = *it->second;
         entry.machine.abort(ErrorKind::Stopping);
-        forget_if_over(entry);
+        forget_if_ended(entry);
     }
 }
 
@@ -186,11 +187,11 @@
         Entry& entry = *it->second;
         if (timer.kind == TimerKind::Hedge)
             hedge(entry, timer.attempt);
-        else if (timer.kind == TimerKind::Silence)
-            check_silence(timer.attempt);
+        else if (timer.kind == TimerKind::Unresponsive)
+            check_unresponsive(timer.attempt);
         else
             entry.machine.abort(ErrorKind::DeadlineExceeded);
-        forget_if_over(entry);
+        forget_if_ended(entry);
     }
     for (SetId id = 0; id < queues.size(); ++id)
         if (!queues[id].waiting.empty())
@@ -206,7 +207,7 @@
                 {options.hedge_ratio, options.hedge_burst, options.hedge_burst}};
     const int sharers = daemons * options.schedulers;
     return {{RetryLimit::kForRetries * limit.ratio,
-             limit.burst(RetryLimit::kForRetries, sharers), limit.at_start(sharers)},
+             limit.burst(RetryLimit::kForRetries, sharers), limit.initial_tokens(sharers)},
             {RetryLimit::kForHedges * limit.ratio,
              limit.burst(RetryLimit::kForHedges, sharers), 0}};
 }
@@ -239,7 +240,7 @@
     m_impl->now = now;
     m_impl->out = &out;
     std::visit([this](const auto& e) { m_impl->on(e); }, event);
-    m_impl->pump_dirty();
+    m_impl->dispatch_dirty();
 }
 
 void
--- a/src/libcypressford/scheduler_admission.cpp
+++ b/src/libcypressford/scheduler_admission.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Scheduler: what is admitted, and the work that is promised.
+/// Scheduler: admission, and accounting of admitted work.
 
 #include "scheduler_impl.h"
 
@@ -27,35 +27,35 @@
     query.now = now;
     query.deadline = request.spec.deadline;
     if (pipeline.spec.target_latency > 0)
-        query.prompt_by = now + pipeline.spec.target_latency;
+        query.target_by = now + pipeline.spec.target_latency;
     query.priority = pipeline.spec.priority;
     query.in_progress = static_cast<int>(unanswered);
     const ResolvedAccount& account = request.account();
     const auto of_account = by_account.find(account.state.get());
     query.account_in_progress = of_account == by_account.end() ? 0 : of_account->second;
     query.active_accounts = static_cast<int>(by_account.size());
-    std::array<StageOutlook, kMaxStages + 1> outlooks;
+    std::array<StageEstimate, kMaxStages + 1> estimates;
     std::size_t count = 0;
     if (request.spec.needs_pieces())
-        outlooks.at(count++) = pieces_outlook(request);
+        estimates.at(count++) = estimate_pieces(request);
     for (std::size_t at = 0; at < pipeline.spec.stages.size(); ++at)
-        outlooks.at(count++) = outlook(request, at);
-    query.stages = std::span(outlooks).first(count);
-    const Micros rest = rest_ahead(request);
-    if (rest > 0 && !bears_wait(request, rest))
-        return with_next_place(request,
-                               {false, ErrorKind::Resting, come_back_after(rest), 0});
+        estimates.at(count++) = estimate_stage(request, at);
+    query.stages = std::span(estimates).first(count);
+    const Micros backoff = backoff_remaining(request);
+    if (backoff > 0 && !meets_target_after(request, backoff))
+        return with_paced_retry_after(
+            request, {false, ErrorKind::Resting, retry_after_backoff(backoff), 0});
     const AdmissionVerdict verdict = admission.admit(query);
     if (!verdict.admitted)
-        return with_next_place(request, verdict);
+        return with_paced_retry_after(request, verdict);
     if (const Micros wait = account.state->take(account.spec, now); wait > 0)
         return {false, ErrorKind::AccountLimit, wait, verdict.expected};
     return verdict;
 }
 
-/// True if each set that the request needs has an upstream that is usable where the
-/// request may be worked on.  Asked of limited requests only; others are judged by their
-/// stages' outlooks.
+/// True if each upstream set that the request needs has an upstream that is usable in the
+/// allowed halls, or becomes usable there.  Only checked for requests with a hall limit;
+/// for others the stage estimates decide.
 bool
 Scheduler::Impl::is_allowed_anywhere(const Request& request) const
 {
@@ -75,22 +75,24 @@
     return std::all_of(pipeline.sets.begin(), pipeline.sets.end(), is_usable_there);
 }
 
-/// How long until each stage has an upstream that does not rest.  Stage upstreams that make
-/// pieces say to the leader of their set that they want rest; it tells by its wait.
+/// Time until each stage has an upstream that is not in backoff.  Piece stages are left
+/// out: their upstreams report a backoff to the leader of their set, and the wait that the
+/// leader reports includes it.
 Micros
-Scheduler::Impl::rest_ahead(const Request& request)
+Scheduler::Impl::backoff_remaining(const Request& request)
 {
-    Micros rest = 0;
+    Micros backoff = 0;
     for (std::size_t at = 0; at < request.pipeline().spec.stages.size(); ++at)
-        rest = std::max(rest, capacity_of(request, at).rest);
-    return rest;
+        backoff = std::max(backoff, capacity_of(request, at).backoff);
+    return backoff;
 }
 
-/// True if the request is still answered in the time it aims at when its next stage begins
-/// after `wait`.  One that is not is told when to come back: at another daemon, or later at
-/// this one, it is served no later than by waiting here, and holds nothing meanwhile.
+/// True if the request is still answered within its target latency and its deadline when
+/// its next stage starts after `wait`.  Other requests are refused with a retry-after time:
+/// a retry at another daemon, or later at this one, is served no later than by waiting in
+/// the queue, and uses no resources meanwhile.
 bool
-Scheduler::Impl::bears_wait(const Request& request, Micros wait) const
+Scheduler::Impl::meets_target_after(const Request& request, Micros wait) const
 {
     const PipelineSpec& spec = request.pipeline().spec;
     Micros last = request.spec.deadline;
@@ -102,30 +104,33 @@
     return finish <= last;
 }
 
-/// True if the request has waited for upstreams that get calls at a rate, and is answered
-/// before its deadline when its turn comes after `wait`.  Places come at uneven times, so
-/// that may be later than it was admitted for; who is refused then has waited for nothing.
+/// True if the request is waiting for rate-limited upstreams, and is answered before its
+/// deadline when its stage starts after `wait`.  Send slots come at uneven intervals, so
+/// the start may be later than estimated at admission; a refusal then would waste the time
+/// that the request has waited.
 bool
-Scheduler::Impl::waits_for_place(const Request& request, Micros wait)
+Scheduler::Impl::may_wait_for_paced_slot(const Request& request, Micros wait)
 {
     return capacity_of(request, request.stage).paced_per_s > 0
         && now + wait + typical_time(request, request.stage) <= request.spec.deadline;
 }
 
-/// When a caller that is refused during a rest is to come back; SchedulerOptions says why
-/// it is spread.
+/// Retry-after time for a request that is refused during a backoff, with jitter (see
+/// SchedulerOptions::backoff_jitter).
 Micros
-Scheduler::Impl::come_back_after(Micros rest)
+Scheduler::Impl::retry_after_backoff(Micros backoff)
 {
-    const double spread = options.rest_spread * static_cast<double>(rest);
-    return rest + static_cast<Micros>(random() % (static_cast<std::uint64_t>(spread) + 1));
+    const double jitter = options.backoff_jitter * static_cast<double>(backoff);
+    return backoff
+        + static_cast<Micros>(random() % (static_cast<std::uint64_t>(jitter) + 1));
 }
 
-/// The next place that upstreams of a stage, which get calls at a rate, have for a caller
-/// that is refused; each caller is told of another one, so that they don't come back to one
-/// place.  0: there are others, or none at all.
+/// Time until the next unassigned send slot of a stage whose upstreams are all
+/// rate-limited. Each refused caller is assigned a different slot, so that callers don't
+/// retry at the same moment.  0 if an upstream without a limit is usable, or no upstream at
+/// all.
 Micros
-Scheduler::Impl::next_place(const Request& request, std::size_t at)
+Scheduler::Impl::next_paced_slot(const Request& request, std::size_t at)
 {
     const StageQueue::Capacity& capacity = capacity_of(request, at);
     if (capacity.paced_per_s <= 0)
@@ -133,30 +138,32 @@
     StageQueue& queue = queue_of(request.set_of(at).id);
     const auto interval = static_cast<Micros>(kSecond / capacity.paced_per_s);
     const Micros farthest = request.pipeline().spec.deadline;
-    const Micros last = std::max(queue.promised_until, now + capacity.rest);
-    queue.promised_until = std::min(last + interval, now + farthest);
-    if (queue.promised_until < now + farthest)
-        return queue.promised_until - now;
-    // More callers than places: nobody waits for longer, so they are spread up to there.
+    const Micros last = std::max(queue.retry_slots_until, now + capacity.backoff);
+    queue.retry_slots_until = std::min(last + interval, now + farthest);
+    if (queue.retry_slots_until < now + farthest)
+        return queue.retry_slots_until - now;
+    // More callers than send slots: no request can wait beyond its deadline, so retries are
+    // spread over the second half of that time.
     const auto half = static_cast<std::uint64_t>(std::max<Micros>(1, farthest / 2));
     return farthest / 2 + static_cast<Micros>(random() % half);
 }
 
-/// What a caller that is refused for want of a place is told, where places come at a rate.
+/// Raises the retry-after time of a refusal for lack of capacity to the next send slot, for
+/// stages whose upstreams are rate-limited.
 AdmissionVerdict
-Scheduler::Impl::with_next_place(const Request& request, AdmissionVerdict verdict)
+Scheduler::Impl::with_paced_retry_after(const Request& request, AdmissionVerdict verdict)
 {
-    const bool lacks_place = verdict.kind == ErrorKind::Resting
+    const bool lacks_capacity = verdict.kind == ErrorKind::Resting
         || verdict.kind == ErrorKind::DeadlineUnreachable;
-    if (!lacks_place)
+    if (!lacks_capacity)
         return verdict;
     for (std::size_t at = 0; at < request.pipeline().spec.stages.size(); ++at)
-        verdict.retry_after = std::max(verdict.retry_after, next_place(request, at));
+        verdict.retry_after = std::max(verdict.retry_after, next_paced_slot(request, at));
     return verdict;
 }
 
-/// How long a stage takes as its caller feels it: a relayed stream counts up to
-/// its first byte.
+/// Median time of a stage as seen by the caller: for a relayed stream, the time to its
+/// first byte.
 Micros
 Scheduler::Impl::typical_time(const Request& request, std::size_t at) const
 {
@@ -166,35 +173,35 @@
     return model.p50(pipeline.stage_ids[at]).value_or(0);
 }
 
-StageOutlook
-Scheduler::Impl::outlook(const Request& request, std::size_t at)
+StageEstimate
+Scheduler::Impl::estimate_stage(const Request& request, std::size_t at)
 {
     const StageId id = request.pipeline().stage_ids[at];
-    StageOutlook result;
+    StageEstimate result;
     result.typical = typical_time(request, at);
     result.tail = std::max(result.typical, model.p95(id).value_or(result.typical));
     const StageQueue::Capacity& capacity = capacity_of(request, at);
     result.usable = capacity.usable;
     const StageQueue& queue = queue_of(request.set_of(at).id);
     result.waiting = static_cast<int>(queue.waiting.size());
-    // Service times are learnt with this many calls under way, so the rate at
-    // which work is done is this many per service time (Little's law).
+    // Service times are recorded with this many calls in flight, so that work is done at a
+    // rate of this many service times per unit of time (Little's law).
     const double share = kShareSlack * capacity.share / std::max(1, options.schedulers);
-    // Work that runs in the slots already is ahead of nobody.
+    // Work that already occupies the slots does not delay this request.
     const double ahead = static_cast<double>(queue.ahead_of(request.priority()))
         - share * static_cast<double>(result.typical);
     const double left = share - queue.busy_with_more_urgent(request.priority());
-    const double drain = std::max({left, kLeastDrain * share, kSmallestShare});
-    result.backlog = capacity.rest + static_cast<Micros>(std::max(0.0, ahead) / drain);
-    result.backlog = std::max(result.backlog, wait_for_place(request, at));
+    const double drain = std::max({left, kMinDrainFraction * share, kMinDrainShare});
+    result.backlog = capacity.backoff + static_cast<Micros>(std::max(0.0, ahead) / drain);
+    result.backlog = std::max(result.backlog, paced_slot_wait(request, at));
     return result;
 }
 
-/// How long the request would wait for upstreams of a stage that get calls at a rate: their
-/// places are counted, since slots and the time of a call say nothing of them.  0: there
-/// are others.
+/// Expected wait for a stage whose upstreams are all rate-limited, in send slots, since the
+/// rate is independent of an upstream's slots and service time.  0 if an upstream without a
+/// limit is usable.
 Micros
-Scheduler::Impl::wait_for_place(const Request& request, std::size_t at)
+Scheduler::Impl::paced_slot_wait(const Request& request, std::size_t at)
 {
     const StageQueue::Capacity& capacity = capacity_of(request, at);
     if (capacity.paced_per_s <= 0)
@@ -204,18 +211,18 @@
         queue.waiting.begin(), queue.waiting.end(),
         [&request](const auto& waiting) { return waiting.priority <= request.priority(); });
     const double rate = capacity.paced_per_s / std::max(1, options.schedulers);
-    const double wait = kPlaceMargin * static_cast<double>(ahead) * kSecond / rate;
-    return capacity.rest + static_cast<Micros>(std::min(wait, kLongestWait));
+    const double wait = kPacedWaitFactor * static_cast<double>(ahead) * kSecond / rate;
+    return capacity.backoff + static_cast<Micros>(std::min(wait, kMaxEstimatedWaitUs));
 }
 
-/// The pieces of a request as one stage, by what the sets say of their calls and
-/// what the daemons that lead them say of their queues.
-StageOutlook
-Scheduler::Impl::pieces_outlook(const Request& request)
+/// Estimate for the pieces of a request as one stage, from the call times of the upstream
+/// sets and the queue waits reported by the leaders of the sets.
+StageEstimate
+Scheduler::Impl::estimate_pieces(const Request& request)
 {
     const ResolvedPipeline& pipeline = request.pipeline();
     const Snapshot& snapshot = *request.spec.snapshot;
-    StageOutlook result;
+    StageEstimate result;
     result.typical = pieces_time(snapshot, pipeline, request.spec.pieces);
     result.tail = result.typical;
     result.usable = std::numeric_limits<int>::max();
@@ -238,14 +245,15 @@
     StageQueue::Capacity& capacity = queue_of(set.id).capacity;
     const std::uint64_t generation = request.spec.snapshot->generation;
     const bool fresh = capacity.generation == generation && capacity.at >= 0
-        && now - capacity.at < kCapacityAge;
+        && now - capacity.at < kCapacityLifetime;
     if (!fresh) {
-        // Where all that could be used rest or have had what their limits allow, it is what
-        // there will be when the first of them is back.
-        // What the leader of the set grants is not known here: it is asked for each call.
+        // While all upstreams in service are in backoff or have used up their limits, the
+        // capacity is that at the time when the first of them is usable again.
+        // The part of a limit that the leader of the set grants is not known here: the
+        // leader is asked for each call.
         const RatePart part = set.spec.has_leader() ? RatePart::Granted : RatePart::Own;
-        const Micros rest = time_to_first_usable(set, now, {}, part);
-        const Micros then = now + rest;
+        const Micros backoff = time_to_first_usable(set, now, {}, part);
+        const Micros then = now + backoff;
         capacity = {now,
                     generation,
                     count_usable(set, then, {}, part),
@@ -253,7 +261,7 @@
                                    model.mean(request.pipeline().stage_ids[at])
                                        .value_or(typical_time(request, at)),
                                    then),
-                    rest,
+                    backoff,
                     calls_per_s_if_paced(set, daemons, then)};
     }
     return capacity;
@@ -268,7 +276,7 @@
         request.committed.at(at) = work;
         StageQueue& queue = queue_of(request.set_of(at).id);
         queue.committed.at(priority_index(request)) += work;
-        queue.note_inflow(priority_index(request), work, now);
+        queue.record_inflow(priority_index(request), work, now);
     }
 }
 
--- a/src/libcypressford/scheduler_impl.h
+++ b/src/libcypressford/scheduler_impl.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Inside of the scheduler: its tables, and the host of each request's machine.
+/// Implementation of the scheduler: its tables, and the host of each request's machine.
 
 #pragma once
 
@@ -18,51 +18,52 @@
 
 namespace cypressford {
 
-/// Timeout of a repeatable attempt: this many times its usual tail ...
-inline constexpr Micros kTimeoutOverTail = 4;
-/// ... and this much more.
-inline constexpr Micros kTimeoutFloor = 100 * kMillisecond;
-/// Failures in a row after which an upstream is taken out.
+/// Timeout of a repeatable attempt, as a multiple of the stage's 95th percentile.
+inline constexpr Micros kAttemptTimeoutFactor = 4;
+/// Added to that timeout.
+inline constexpr Micros kAttemptTimeoutMargin = 100 * kMillisecond;
+/// Consecutive failures after which an upstream is ejected.
 inline constexpr int kFailuresToEject = 3;
-/// Requests without a slot that a search through a queue passes over.
+/// Requests without a free slot that a pass over a queue skips before it ends.
 inline constexpr int kMaxPassedOver = 4;
-/// How long the count of usable upstreams of a set is kept.
-inline constexpr Micros kCapacityAge = kMillisecond;
-/// A daemon may have this much more under way than its share of a set's slots,
-/// so that an upstream that frees a slot finds the next call waiting.
+/// How long the capacity of a set is cached.
+inline constexpr Micros kCapacityLifetime = kMillisecond;
+/// A daemon may have this multiple of its share of a set's slots in flight, so that an
+/// upstream that frees a slot has the next call waiting.
 inline constexpr double kShareSlack = 1.3;
-/// So many calls a daemon may always have under way at a set.  89 daemons have a fifth of a
-/// slot each of a service with 18, and behind a single call that hangs all others of a
-/// daemon would wait: of 4,735 lookups 90 came late with one call, 6 with two (99th
-/// percentile 449 ms and 71 ms, one day with bursts, a crash and a cut).
-inline constexpr int kLeastCalls = 2;
-/// Part of a share that a priority is counted on to get, however much comes in
-/// above it.
-inline constexpr double kLeastDrain = 0.05;
-/// A shared prompt shorter than this is read again faster than results of pieces
-/// cross to where it is kept, so it binds no request to an upstream.
-inline constexpr std::int64_t kTokensWorthFollowing = 1024;
-/// An upstream that has not begun to answer a relayed request after this many times
-/// what it takes usually, and after this time in any case, is taken for silent.
-inline constexpr Micros kSilenceOverTypical = 8;
-inline constexpr Micros kSilenceFloor = 1 * kSecond;
-/// A request that had less time left than a connection may take says nothing of its
-/// upstream.
-inline constexpr Micros kTimeToConnect = 250 * kMillisecond;
-/// Upstreams that one stage may fail to reach before it fails.
+/// Calls that a daemon may always have in flight to a set, however small its share.  With
+/// one, a single hanging call blocks all others of a daemon: where 89 daemons share 18
+/// slots (a fifth of a slot each), 90 of 4,735 lookups were late with one call and 6 with
+/// two (99th percentile 449 ms and 71 ms, in a day with bursts, a crash and a partition).
+inline constexpr int kMinConcurrentCalls = 2;
+/// Fraction of a share that a priority is assumed to get, whatever load has priority over
+/// it.
+inline constexpr double kMinDrainFraction = 0.05;
+/// A shared prompt with fewer tokens is processed again in less time than it takes to
+/// transfer the results of pieces to the upstream that caches it, so it creates no
+/// affinity.
+inline constexpr std::int64_t kMinTokensForAffinity = 1024;
+/// An upstream is considered unresponsive if it has not started to answer a relayed request
+/// after this multiple of the typical time, but not before kMinFirstByteTimeout.
+inline constexpr Micros kFirstByteTimeoutFactor = 8;
+inline constexpr Micros kMinFirstByteTimeout = 1 * kSecond;
+/// Time that a connection may take.  An attempt with less time left is no evidence that
+/// its upstream is unreachable.
+inline constexpr Micros kMaxConnectTime = 250 * kMillisecond;
+/// Attempts of one stage that may fail to reach an upstream before the stage fails.
 inline constexpr int kMaxUnreached = 6;
-/// Places that come at a rate come at uneven intervals: the wait for one is counted on to
-/// be this much longer than the mean.
-inline constexpr double kPlaceMargin = 1.5;
-/// Longer waits (us) are told as this: no request has so much time.
-inline constexpr double kLongestWait = 3600.0 * kSecond;
+/// Send slots of rate-limited upstreams come at uneven intervals: the wait is estimated as
+/// this multiple of the mean.
+inline constexpr double kPacedWaitFactor = 1.5;
+/// Upper bound of estimated waits; no request has this much time left.
+inline constexpr double kMaxEstimatedWaitUs = 3600.0 * kSecond;
 /// Keeps divisions finite when no upstream is usable.
-inline constexpr double kSmallestShare = 0.1;
+inline constexpr double kMinDrainShare = 0.1;
 
 struct Scheduler::Impl {
-    enum class TimerKind : unsigned char { Deadline, Hedge, Silence };
+    enum class TimerKind : unsigned char { Deadline, Hedge, Unresponsive };
 
-    /// Something to look at later.
+    /// A deferred check of a request or attempt.
     struct Timer {
         Micros at = 0;
         TimerKind kind = TimerKind::Deadline;
@@ -72,7 +73,7 @@
         bool operator>(const Timer& other) const { return at > other.at; }
     };
 
-    /// Retries and hedges are paid for by first attempts at the same upstream set.
+    /// Retries and hedges are earned by first attempts at the same upstream set.
     struct Budgets {
         RetryBudget retries;
         RetryBudget hedges;
@@ -90,7 +91,7 @@
         }
     };
 
-    /// One request with its machine; the machine calls back here.
+    /// One request and its state machine, which calls back into the entry.
     struct Entry final : RequestHost {
         Entry(Impl& owner_, RequestSpec spec)
             : owner(owner_)
@@ -129,11 +130,11 @@
         {
             const ErrorKind settled = settle_kind(kind, request);
             const Micros after
-                = request.come_back_after > 0 ? request.come_back_after : kRetryAfterAbort;
+                = request.retry_after > 0 ? request.retry_after : kRetryAfterAbort;
             owner.answer(request,
                          Reply {0, settled, settle_ran(settled, request), after, false});
-            const bool in_doubt
-                = request.once_may_have_run && !mutated(Mutation::ReleaseAfterLost);
+            const bool in_doubt = request.non_repeatable_may_have_run
+                && !mutated(Mutation::ReleaseAfterLost);
             owner.end_claim(request,
                             in_doubt ? ClaimOutcome::Unknown : ClaimOutcome::NotRun);
             owner.finish(request);
@@ -148,10 +149,11 @@
         }
         void settle(bool done) override
         {
-            const ClaimOutcome lost
-                = request.once_may_have_run ? ClaimOutcome::Unknown : ClaimOutcome::NotRun;
-            const bool whole = done && at_last_stage();
-            owner.end_claim(request, whole ? ClaimOutcome::Done : lost);
+            const ClaimOutcome lost = request.non_repeatable_may_have_run
+                ? ClaimOutcome::Unknown
+                : ClaimOutcome::NotRun;
+            const bool is_complete = done && at_last_stage();
+            owner.end_claim(request, is_complete ? ClaimOutcome::Done : lost);
             owner.finish(request);
         }
         bool at_last_stage() const override
@@ -166,7 +168,8 @@
             if (request.attempts_of_stage >= owner.max_attempts(request)
                 || owner.now >= request.spec.deadline)
                 return false;
-            // What never reached an upstream costs it nothing, so it is not paid for.
+            // An attempt that never reached an upstream put no load on it, so its retry is
+            // not charged to the budget.
             if (request.last_unreached)
                 return request.unreached <= kMaxUnreached;
             if (!owner.budgets_of(request).retries.spend())
@@ -175,11 +178,11 @@
             return true;
         }
         bool others_running() const override { return !request.running.empty(); }
-        /// Nobody learns how a relayed request ended but its caller, so it does
-        /// not outlive it.
-        bool once_running() const override
+        /// Relayed requests are left out: their outcome is of use to the caller only, so
+        /// they don't continue after it has been answered or disconnected.
+        bool non_repeatable_running() const override
         {
-            return request.once_may_have_run && !request.running.empty()
+            return request.non_repeatable_may_have_run && !request.running.empty()
                 && !request.is_relayed();
         }
         ErrorKind failure_kind() const override { return request.last_failure; }
@@ -189,42 +192,44 @@
         RequestMachine machine;
     };
 
-    /// Advice to callers whose request was aborted after it was admitted.
+    /// Retry-after time of requests that are aborted after admission, unless another one is
+    /// known.
     static constexpr Micros kRetryAfterAbort = kSecond;
 
     Impl(SchedulerOptions options, const Router& router, const Admission& admission,
          RandomBits random);
 
     void on(const RequestArrived& event);
-    void on(const AttemptBegun& event);
+    void on(const ResponseStarted& event);
     void on(const AttemptEnded& event);
     void on(const ClaimDecided& event);
     void on(const CallerClosed& event);
     void on(const PreparationEnded& event);
     void on(const InputsRead& event);
-    void on(const StopEnds& event);
+    void on(const ShutdownImminent& event);
     void on(const Tick& event);
 
     AdmissionVerdict check_admission(const Request& request);
     bool is_allowed_anywhere(const Request& request) const;
-    Micros rest_ahead(const Request& request);
-    bool bears_wait(const Request& request, Micros wait) const;
-    bool waits_for_place(const Request& request, Micros wait);
-    Micros come_back_after(Micros rest);
-    Micros wait_for_place(const Request& request, std::size_t at);
-    Micros next_place(const Request& request, std::size_t at);
-    AdmissionVerdict with_next_place(const Request& request, AdmissionVerdict verdict);
+    Micros backoff_remaining(const Request& request);
+    bool meets_target_after(const Request& request, Micros wait) const;
+    bool may_wait_for_paced_slot(const Request& request, Micros wait);
+    Micros retry_after_backoff(Micros backoff);
+    Micros paced_slot_wait(const Request& request, std::size_t at);
+    Micros next_paced_slot(const Request& request, std::size_t at);
+    AdmissionVerdict with_paced_retry_after(const Request& request,
+                                            AdmissionVerdict verdict);
     Micros typical_time(const Request& request, std::size_t at) const;
-    StageOutlook outlook(const Request& request, std::size_t at);
-    StageOutlook pieces_outlook(const Request& request);
+    StageEstimate estimate_stage(const Request& request, std::size_t at);
+    StageEstimate estimate_pieces(const Request& request);
     const StageQueue::Capacity& capacity_of(const Request& request, std::size_t at);
     void commit(Request& request);
     void release_commitment(Request& request, std::size_t at);
 
     void advance(Entry& entry);
     void leave_queue(Request& request);
-    void pump_dirty();
-    void pump(SetId id);
+    void dispatch_dirty();
+    void dispatch(SetId id);
     bool cannot_meet_deadline(const Request& request) const;
     bool try_start(Entry& entry);
     bool has_share_left(const Request& request);
@@ -232,24 +237,24 @@
     BeginPreparation begin_preparation(const Request& request);
     void send(Request& request);
     Micros attempt_deadline(const Request& request) const;
-    void arm_hedge(const Request& request, AttemptId attempt);
+    void arm_hedge_timer(const Request& request, AttemptId attempt);
     void hedge(Entry& entry, AttemptId attempt);
-    void arm_silence(const Request& request, AttemptId attempt);
-    void check_silence(AttemptId attempt);
+    void arm_unresponsive_timer(const Request& request, AttemptId attempt);
+    void check_unresponsive(AttemptId attempt);
 
-    void observe(const Attempt& attempt, AttemptStatus status);
-    bool is_evidence(const Attempt& attempt, AttemptStatus status) const;
+    void record_outcome(const Attempt& attempt, AttemptStatus status);
+    bool indicates_upstream_fault(const Attempt& attempt, AttemptStatus status) const;
     bool may_eject(const Attempt& attempt) const;
-    void report_unreached(const Attempt& attempt);
+    void report_unreachable(const Attempt& attempt);
     void settle_attempt(Entry& entry, const Attempt& attempt, AttemptStatus status);
-    static ErrorKind failure_of(AttemptStatus status, bool once);
+    static ErrorKind failure_of(AttemptStatus status, bool non_repeatable);
     static ErrorKind claim_error(ClaimResult result);
     void cancel_running(Request& request);
     void end_claim(Request& request, ClaimOutcome outcome);
     void answer(Request& request, Reply reply);
     void reply_replayed(Entry& entry);
     void finish(Request& request);
-    void forget_if_over(Entry& entry);
+    void forget_if_ended(Entry& entry);
 
     void mark_dirty(SetId id) { dirty.push_back(id); }
     StageQueue& queue_of(SetId id)
@@ -269,12 +274,12 @@
         const int own = request.pipeline().spec.max_attempts;
         return own > 0 ? own : options.max_attempts;
     }
-    /// True if the present stage is best run by whoever keeps its prompt.
+    /// True if the current stage should run on the upstream that caches its prompt.
     static bool follows_prompt(const Request& request)
     {
         const RequestSpec& spec = request.spec;
         const bool is_short
-            = spec.shared_tokens >= 0 && spec.shared_tokens < kTokensWorthFollowing;
+            = spec.shared_tokens >= 0 && spec.shared_tokens < kMinTokensForAffinity;
         return request.stage_spec().kind == StageKind::Generate && spec.affinity != 0
             && !(is_short && spec.needs_pieces());
     }
@@ -286,7 +291,8 @@
     {
         return {request.priority(), request.spec.deadline, request.spec.id};
     }
-    /// True if some stage of the pipeline runs once and relies on the claim.
+    /// True if some stage of the pipeline must not run twice and only the claim prevents
+    /// it.
     static bool request_needs_claim(const Request& request)
     {
         const auto& pipeline = request.pipeline();
@@ -300,7 +306,7 @@
     }
 
     SchedulerOptions options;
-    int daemons = 1; ///< alive in all halls
+    int daemons = 1; ///< live daemons in all halls
     const Router& router;
     const Admission& admission;
     RandomBits random;
@@ -312,18 +318,18 @@
     std::vector<StageQueue> queues;
     std::unordered_map<SetId, Budgets> budgets;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers;
-    std::vector<SetId> dirty;
+    std::vector<SetId> dirty; ///< sets whose queue is to be dispatched after this event
     Candidates candidates; ///< scratch space
     std::shared_ptr<UpstreamState> chosen; ///< last choice of choose_upstream()
-    bool chosen_is_counted = false; ///< the leader of its set has counted the call
+    bool chosen_is_counted = false; ///< the leader of the set has counted the call
     AttemptId next_attempt = 1;
     std::size_t unanswered = 0;
     std::size_t waiting_count = 0;
-    /// Unanswered requests of each account; accounts without any are left out.
+    /// Unanswered requests of each account; accounts without any have no entry.
     std::unordered_map<const AccountState*, int> by_account;
 
-    Micros now = 0; ///< time of the event in hand
-    Actions* out = nullptr; ///< where its actions go
+    Micros now = 0; ///< time of the current event
+    Actions* out = nullptr; ///< receives the actions of the current event
 };
 
 } // namespace cypressford
--- a/src/libcypressford/scheduler_routing.cpp
+++ b/src/libcypressford/scheduler_routing.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Scheduler: queues, choice of upstreams, attempts and hedges.
+/// Scheduler: queues, routing, attempts and hedges.
 
 #include "scheduler_impl.h"
 
@@ -44,18 +44,18 @@
 }
 
 void
-Scheduler::Impl::pump_dirty()
+Scheduler::Impl::dispatch_dirty()
 {
     while (!dirty.empty()) {
         const SetId id = dirty.back();
         dirty.pop_back();
-        pump(id);
+        dispatch(id);
     }
 }
 
-/// Sends what waits for a set, most urgent first, as long as it finds a slot.
+/// Starts the requests that wait for a set, in order of urgency, while slots are free.
 void
-Scheduler::Impl::pump(SetId id)
+Scheduler::Impl::dispatch(SetId id)
 {
     auto position = queue_of(id).waiting.begin();
     int passed_over = 0;
@@ -64,11 +64,11 @@
         ++position;
         if (cannot_meet_deadline(entry.request)) {
             entry.machine.abort(ErrorKind::DeadlineExceeded);
-            forget_if_over(entry);
+            forget_if_ended(entry);
             continue;
         }
-        // Several bundle versions may stand in one queue, each with upstreams
-        // of its own, so one request without a slot does not end the search.
+        // Requests of several bundle versions, each with upstreams of its own, may share a
+        // queue, so a single request without a slot does not end the search.
         if (!try_start(entry))
             ++passed_over;
     }
@@ -95,14 +95,16 @@
     if (!has_share_left(request) || !choose_upstream(request)) {
         if (count_usable(request.set(), now, request.spec.halls) > 0)
             return false;
-        const Micros rest = time_to_first_usable(request.set(), now, request.spec.halls);
-        if (rest > 0 && (bears_wait(request, rest) || waits_for_place(request, rest)))
+        const Micros backoff = time_to_first_usable(request.set(), now, request.spec.halls);
+        if (backoff > 0
+            && (meets_target_after(request, backoff)
+                || may_wait_for_paced_slot(request, backoff)))
             return false;
-        if (rest > 0)
-            request.come_back_after
-                = std::max(come_back_after(rest), next_place(request, request.stage));
-        entry.machine.abort(rest > 0 ? ErrorKind::Resting : ErrorKind::NoUpstream);
-        forget_if_over(entry);
+        if (backoff > 0)
+            request.retry_after = std::max(retry_after_backoff(backoff),
+                                           next_paced_slot(request, request.stage));
+        entry.machine.abort(backoff > 0 ? ErrorKind::Resting : ErrorKind::NoUpstream);
+        forget_if_ended(entry);
         return true;
     }
     leave_queue(request);
@@ -110,20 +112,21 @@
     return true;
 }
 
-/// The slots of a set are divided over the daemons as a whole: a part of each
-/// upstream's slots, rounded up, would add up to far more than there are.
+/// The slots of a set are divided among the daemons as a whole: dividing each upstream's
+/// slots and rounding up would add up to far more slots than there are.
 bool
 Scheduler::Impl::has_share_left(const Request& request)
 {
-    if (!admission.queues_here())
+    if (!admission.queues_in_daemon())
         return true;
     const double share
         = capacity_of(request, request.stage).share / std::max(1, options.schedulers);
     const int running = queue_of(request.set().id).running;
-    return running < kLeastCalls || running < kShareSlack * share;
+    return running < kMinConcurrentCalls || running < kShareSlack * share;
 }
 
-/// Leaves the choice in `chosen`, and whether the leader of the set has counted the call.
+/// Stores the choice in `chosen`, and in `chosen_is_counted` whether the leader of the set
+/// has counted the call.
 bool
 Scheduler::Impl::choose_upstream(const Request& request)
 {
@@ -132,13 +135,13 @@
     CandidateQuery query;
     query.now = now;
     query.daemons_in_hall = options.daemons_in_hall;
-    query.limit_slots = admission.queues_here();
+    query.limit_slots = admission.queues_in_daemon();
     query.allow_probe = request.stage_spec().repeatable;
     query.tried = request.tried;
     const bool by_prompt = follows_prompt(request);
     query.want_all = by_prompt || !router.samples() || !request.prepared_identity.empty();
     query.random = random();
-    // Whoever keeps a session's prefix is worth more than a near one.
+    // An upstream that caches a session's prefix is preferred to a nearer one.
     query.any_hall
         = (by_prompt && request.is_relayed()) || !request.prepared_identity.empty();
     if (!query.any_hall)
@@ -155,7 +158,8 @@
         query.tried = {};
         collect_candidates(set, query, candidates);
     }
-    // Cold ones come last: others wait there, or break down, while these have places.
+    // Cold upstreams are a last resort: calls would queue or fail there while warm
+    // upstreams have free slots.
     if (candidates.empty()) {
         query.allow_cold = true;
         collect_candidates(set, query, candidates);
@@ -177,16 +181,17 @@
     return !chosen->cold.is_cold(now) || chosen->cold.take_send(daemons, now);
 }
 
-/// The pieces are wanted where the stage that reads them would run now.
+/// The results are wanted in the hall where the stage that reads them would run now.
 BeginPreparation
 Scheduler::Impl::begin_preparation(const Request& request)
 {
     const PipelineSpec& spec = request.pipeline().spec;
-    const Micros aim = spec.target_latency > 0 ? spec.target_latency : spec.deadline;
+    const Micros target = spec.target_latency > 0 ? spec.target_latency : spec.deadline;
     BeginPreparation begin;
     begin.request = request.spec.id;
     begin.deadline = request.spec.deadline;
-    begin.prompt_by = request.arrived + aim - request.pipeline().state->first_byte.load();
+    begin.target_by
+        = request.arrived + target - request.pipeline().state->first_byte.load();
     begin.follows_prompt = follows_prompt(request);
     begin.again = request.prepared_before;
     if (!begin.follows_prompt)
@@ -204,7 +209,8 @@
     attempt.stage = request.stage;
     attempt.upstream = chosen;
     attempt.sent_at = now;
-    attempt.once = !request.stage_spec().repeatable && !request.set().spec.deduplicates;
+    attempt.non_repeatable
+        = !request.stage_spec().repeatable && !request.set().spec.deduplicates;
     const bool is_retry = request.attempts_of_stage > 0;
     const bool is_counted
         = chosen_is_counted || (is_retry && mutated(Mutation::UncountedRetry));
@@ -218,76 +224,78 @@
     ++queue_of(request.set().id).running;
     ++request.may_have_run;
     ++request.open_attempts;
-    request.once_may_have_run |= attempt.once;
+    request.non_repeatable_may_have_run |= attempt.non_repeatable;
     request.running.push_back(attempt.id);
     request.tried.push_back(chosen.get());
-    // A second attempt is not bound to the choice made for the first.
+    // A retry or hedge is not bound to the choice made for the first attempt.
     request.prepared_identity.clear();
     request.prepared_is_counted = false;
     const Micros deadline = attempt_deadline(request);
     out->push_back(SendAttempt {request.spec.id, attempt.id, request.stage, chosen,
-                                deadline, !attempt.once,
+                                deadline, !attempt.non_repeatable,
                                 is_counted ? CallCount::Counted : CallCount::Own});
     if (mutated(Mutation::FreeBeforeRead) && request.spec.needs_pieces())
         out->push_back(ReleaseInputs {request.spec.id});
-    arm_hedge(request, attempt.id);
-    arm_silence(request, attempt.id);
+    arm_hedge_timer(request, attempt.id);
+    arm_unresponsive_timer(request, attempt.id);
     attempts.emplace(attempt.id, std::move(attempt));
 }
 
-/// A repeatable call that takes several times its usual tail is cancelled while
-/// there is time left for another one.
+/// A repeatable call that takes several times its 95th percentile is cancelled while there
+/// is time left for a retry.
 Micros
 Scheduler::Impl::attempt_deadline(const Request& request) const
 {
     const Micros last = request.spec.deadline;
     const auto tail = model.p95(request.pipeline().stage_ids[request.stage]);
-    // A relayed stream takes as long as its text; its pace is watched instead.
+    // The duration of a relayed stream depends on its text; its rate is monitored instead.
     const bool is_stream = request.is_relayed() && request.pipeline().spec.stream;
     if (!request.stage_spec().repeatable || is_stream || !tail || !admission.drops_late())
         return last;
-    return std::min(last, now + kTimeoutOverTail * *tail + kTimeoutFloor);
+    return std::min(last, now + kAttemptTimeoutFactor * *tail + kAttemptTimeoutMargin);
 }
 
 void
-Scheduler::Impl::arm_hedge(const Request& request, AttemptId attempt)
+Scheduler::Impl::arm_hedge_timer(const Request& request, AttemptId attempt)
 {
     const StageSpec& stage = request.stage_spec();
     const auto tail = model.p95(request.pipeline().stage_ids[request.stage]);
-    const bool may = options.hedging && admission.queues_here() && stage.repeatable
-        && stage.kind != StageKind::Generate && request.running.size() == 1 && tail;
-    if (may)
+    const bool may_hedge = options.hedging && admission.queues_in_daemon()
+        && stage.repeatable && stage.kind != StageKind::Generate
+        && request.running.size() == 1 && tail;
+    if (may_hedge)
         timers.push({now + *tail + *tail / 2, TimerKind::Hedge, request.spec.id, attempt});
 }
 
 void
-Scheduler::Impl::arm_silence(const Request& request, AttemptId attempt)
+Scheduler::Impl::arm_unresponsive_timer(const Request& request, AttemptId attempt)
 {
     if (!request.is_relayed() || !admission.drops_late()
-        || !options.switches.uses(Mechanism::EjectSilent))
+        || !options.switches.uses(Mechanism::EjectUnresponsive))
         return;
     const Micros typical = typical_time(request, request.stage);
-    const Micros limit = std::max(kSilenceFloor, kSilenceOverTypical * typical);
-    timers.push({now + limit, TimerKind::Silence, request.spec.id, attempt});
+    const Micros limit = std::max(kMinFirstByteTimeout, kFirstByteTimeoutFactor * typical);
+    timers.push({now + limit, TimerKind::Unresponsive, request.spec.id, attempt});
 }
 
-/// An upstream that is cut off says nothing: it gets nothing more for a while, and
-/// what may be repeated goes elsewhere.
+/// An upstream that is cut off from the network sends no response: it is ejected for a
+/// while, and the attempt is cancelled for a retry elsewhere if it may be repeated.
 void
-Scheduler::Impl::check_silence(AttemptId id)
+Scheduler::Impl::check_unresponsive(AttemptId id)
 {
     const auto it = attempts.find(id);
-    if (it == attempts.end() || it->second.begun || it->second.cancelled)
+    if (it == attempts.end() || it->second.response_started || it->second.cancelled)
         return;
     const Attempt& attempt = it->second;
-    // One that answers others meanwhile is not silent; this call is long.
+    // An upstream that has answered other calls since is responsive; this call is just
+    // long.
     if (attempt.upstream->answered_at.load(std::memory_order_relaxed) > attempt.sent_at)
         return;
-    report_unreached(attempt);
+    report_unreachable(attempt);
     if (options.eject && may_eject(attempt) && attempt.upstream->note_failure(1, now))
         ++counters.ejections;
-    // Its end is still to come, as lost.
-    if (!attempt.once)
+    // The attempt still ends with an event, as lost.
+    if (!attempt.non_repeatable)
         out->push_back(CancelAttempt {id});
 }
 
@@ -295,11 +303,11 @@
 Scheduler::Impl::hedge(Entry& entry, AttemptId attempt)
 {
     Request& request = entry.request;
-    const bool still = entry.machine.state() == RequestState::Running
+    const bool is_only_attempt = entry.machine.state() == RequestState::Running
         && request.running.size() == 1 && request.running.front() == attempt;
-    if (!still || request.attempts_of_stage >= max_attempts(request))
+    if (!is_only_attempt || request.attempts_of_stage >= max_attempts(request))
         return;
-    // The results that it would need were read and released.
+    // The results that a hedge needs have already been read and released.
     if (request.lacks_preparation())
         return;
     // A queue means there is no idle slot that a hedge could use.
--- a/src/libcypressford/scheduler_settling.cpp
+++ b/src/libcypressford/scheduler_settling.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Scheduler: what the end of an attempt means for upstream and request.
+/// Scheduler: effects of the end of an attempt on its upstream and its request.
 
 #include "scheduler_impl.h"
 
@@ -10,9 +10,9 @@
 
 namespace cypressford {
 
-/// Learns from the end of an attempt, whatever became of its request.
+/// Updates the state of the upstream after an attempt, independent of the request's state.
 void
-Scheduler::Impl::observe(const Attempt& attempt, AttemptStatus status)
+Scheduler::Impl::record_outcome(const Attempt& attempt, AttemptStatus status)
 {
     UpstreamState& upstream = *attempt.upstream;
     const Micros took = now - attempt.sent_at;
@@ -33,8 +33,8 @@
     case AttemptStatus::Failed:
     case AttemptStatus::Lost:
         if (status == AttemptStatus::NotSent && !attempt.cancelled)
-            report_unreached(attempt);
-        if (!attempt.cancelled && options.eject && is_evidence(attempt, status)
+            report_unreachable(attempt);
+        if (!attempt.cancelled && options.eject && indicates_upstream_fault(attempt, status)
             && may_eject(attempt)
             && upstream.note_failure(
                 status == AttemptStatus::NotSent ? 1 : kFailuresToEject, now))
@@ -43,25 +43,26 @@
     }
 }
 
-/// Only of the upstream that the leader of the set had chosen: of others it does not know
-/// which request went there.
+/// Reports only an upstream chosen by the leader of the set: the leader does not know which
+/// other upstreams were sent the request.
 void
-Scheduler::Impl::report_unreached(const Attempt& attempt)
+Scheduler::Impl::report_unreachable(const Attempt& attempt)
 {
     const auto it = entries.find(attempt.request);
     if (it == entries.end() || !options.switches.uses(Mechanism::SharedReach))
         return;
     const Request& request = it->second->request;
-    const bool had_time = request.spec.deadline - attempt.sent_at > kTimeToConnect;
+    const bool had_time = request.spec.deadline - attempt.sent_at > kMaxConnectTime;
     if (had_time && request.spec.asks_leader
-        && request.placed_at == attempt.upstream->identity)
-        out->push_back(ReportUnreached {attempt.request});
+        && request.placed_identity == attempt.upstream->identity)
+        out->push_back(ReportUnreachable {attempt.request});
 }
 
-/// A call that its own request's deadline cut short says little about the
-/// upstream, unless it had taken far longer than such calls take.
+/// An attempt that was cut short by its request's own deadline is weak evidence against the
+/// upstream, unless it took far longer than such calls usually take.
 bool
-Scheduler::Impl::is_evidence(const Attempt& attempt, AttemptStatus status) const
+Scheduler::Impl::indicates_upstream_fault(const Attempt& attempt,
+                                          AttemptStatus status) const
 {
     auto it = entries.find(attempt.request);
     if (status != AttemptStatus::Lost || it == entries.end()
@@ -71,8 +72,8 @@
     return !tail || now - attempt.sent_at > 2 * *tail;
 }
 
-/// Never more than half of a set is taken out: when most of it fails, the
-/// fault is elsewhere, and trying is all that is left.
+/// At most half of a set is ejected: when most upstreams fail, the cause lies elsewhere,
+/// and trying them is the only option left.
 bool
 Scheduler::Impl::may_eject(const Attempt& attempt) const
 {
@@ -80,7 +81,7 @@
     if (it == entries.end())
         return true;
     const UpstreamSet& set = it->second->request.set_of(attempt.stage);
-    // Those of evacuated halls can't take over and don't count.
+    // Upstreams of evacuated halls can't take over the load, so they don't count.
     const int all = count_in_service(set);
     return 2 * (count_usable(set, now) - 1) >= all;
 }
@@ -103,8 +104,8 @@
         request.preparation = PreparationState::Wanted;
     if (proven_unrun) {
         --request.may_have_run;
-        if (attempt.once)
-            request.once_may_have_run = false;
+        if (attempt.non_repeatable)
+            request.non_repeatable_may_have_run = false;
     }
     std::erase(request.running, attempt.id);
     if (attempt.cancelled && !mutated(Mutation::TrustLateAnswer))
@@ -120,19 +121,19 @@
     } else if (status == AttemptStatus::Quarantined) {
         cancel_running(request);
         entry.machine.abort(ErrorKind::Quarantined);
-    } else if (now >= request.spec.deadline && !attempt.once) {
+    } else if (now >= request.spec.deadline && !attempt.non_repeatable) {
         cancel_running(request);
         entry.machine.abort(ErrorKind::DeadlineExceeded);
     } else {
-        request.last_failure = failure_of(status, attempt.once);
+        request.last_failure = failure_of(status, attempt.non_repeatable);
         entry.machine.attempt_lost();
     }
 }
 
 ErrorKind
-Scheduler::Impl::failure_of(AttemptStatus status, bool once)
+Scheduler::Impl::failure_of(AttemptStatus status, bool non_repeatable)
 {
-    const bool may_not_repeat = once && !mutated(Mutation::RetryOnce);
+    const bool may_not_repeat = non_repeatable && !mutated(Mutation::RetryOnce);
     if (may_not_repeat
         && (status == AttemptStatus::Failed || status == AttemptStatus::Lost))
         return ErrorKind::OutcomeUnknown;
@@ -174,9 +175,9 @@
 void
 Scheduler::Impl::end_claim(Request& request, ClaimOutcome outcome)
 {
-    const bool ours
+    const bool is_open
         = request.claim == ClaimState::Pending || request.claim == ClaimState::Won;
-    if (!ours)
+    if (!is_open)
         return;
     request.claim = ClaimState::Ended;
     out->push_back(EndClaim {request.spec.id, outcome});
@@ -221,7 +222,7 @@
 }
 
 void
-Scheduler::Impl::forget_if_over(Entry& entry)
+Scheduler::Impl::forget_if_ended(Entry& entry)
 {
     if (!entry.request.ended || entry.request.open_attempts > 0)
         return;
--- a/src/libcypressford/stage_queue.h
+++ b/src/libcypressford/stage_queue.h
@@ -21,44 +21,47 @@
     auto operator<=>(const WaitingRequest&) const = default;
 };
 
-/// What one scheduler has in hand for one upstream set.
+/// State that one scheduler keeps for one upstream set.
 struct StageQueue {
     /// Most urgent first; within a priority the earliest deadline.
     std::set<WaitingRequest> waiting;
     /// Service time admitted and not yet done, by priority.
     std::array<Micros, kLowestPriority + 1> committed {};
-    int running = 0; ///< calls under way
+    int running = 0; ///< calls in flight
     std::uint64_t decisions = 0; ///< routing decisions made for this set
 
-    /// What a look over all upstreams of the set gave, kept for a moment.
+    /// Cached result of a scan over all upstreams of the set.
     struct Capacity {
         Micros at = -1;
-        std::uint64_t generation = 0; ///< of the snapshot that was looked at
+        std::uint64_t generation = 0; ///< of the scanned snapshot
         int usable = 0;
-        double share = 0; ///< calls that this daemon can run at a time
-        Micros rest = 0; ///< all rest: until the first is back, what the others tell of
-        double paced_per_s = 0; ///< calls a second, if all upstreams get them at a rate
+        double share = 0; ///< concurrent calls that this daemon can run
+        /// While no upstream is usable: time until the first one is.  The other members
+        /// then describe the set at that time.
+        Micros backoff = 0;
+        /// Calls per second if all upstreams are rate-limited; else 0.
+        double paced_per_s = 0;
     };
     Capacity capacity;
-    Micros promised_until = 0; ///< last place that a refused caller was told of
+    Micros retry_slots_until = 0; ///< last send slot assigned to a refused caller
 
-    /// Service time that comes in per second, by priority, over about a second.
+    /// Admitted service time per second, by priority, averaged over about a second.
     std::array<double, kLowestPriority + 1> inflow {};
     Micros inflow_at = 0;
 
-    /// Lets the past fade and adds what was just committed.
-    void note_inflow(std::size_t priority, Micros work, Micros now)
+    /// Decays the averages and adds newly admitted service time.
+    void record_inflow(std::size_t priority, Micros work, Micros now)
     {
         constexpr double window = kSecond;
-        const double fade = std::exp(-static_cast<double>(now - inflow_at) / window);
+        const double decay = std::exp(-static_cast<double>(now - inflow_at) / window);
         inflow_at = now;
         for (double& rate : inflow)
-            rate *= fade;
+            rate *= decay;
         inflow.at(priority) += static_cast<double>(work) * kSecond / window;
     }
 
-    /// Slots that more urgent requests keep busy, going by what came in lately:
-    /// they will overtake whatever waits now.
+    /// Slots occupied by more urgent requests, estimated from the recent inflow: such
+    /// requests will overtake the ones that are waiting now.
     double busy_with_more_urgent(int priority) const
     {
         double sum = 0;
@@ -67,7 +70,7 @@
         return sum / kSecond;
     }
 
-    /// Committed service time that goes before a request of this priority.
+    /// Admitted service time that precedes a request of this priority.
     Micros ahead_of(int priority) const
     {
         Micros sum = 0;
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -210,7 +210,7 @@
     wanted.piece_key = context->relay->call.piece_key;
     wanted.priority = context->resolved().spec.priority;
     wanted.deadline = action.deadline;
-    wanted.prompt_by = action.prompt_by;
+    wanted.target_by = action.target_by;
     wanted.near = action.near;
     wanted.follows_prompt = action.follows_prompt;
     wanted.again = action.again;
@@ -253,7 +253,7 @@
 }
 
 void
-Worker::act(const ReportUnreached& action)
+Worker::act(const ReportUnreachable& action)
 {
     const auto it = m_contexts.find(action.request);
     if (it == m_contexts.end() || !it->second->relay || !m_kernel.pieces)
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -116,7 +116,7 @@
     void stop_accepting() { m_server.stop_accepting(); }
     void close_idle() { m_server.close_idle(); }
     /// The process ends in a moment: requests that run nowhere are answered.
-    void answer_waiting() { feed(StopEnds {}); }
+    void answer_waiting() { feed(ShutdownImminent {}); }
     /// Takes over the bounds that the configuration sets on callers.
     void apply_limits();
     bool is_idle() const { return m_server.connections() == 0 && m_scheduler.live() == 0; }
@@ -177,7 +177,7 @@
     void act(Actions& actions);
     void act(const SendAttempt& action);
     void act(const CancelAttempt& action);
-    void act(const ReportUnreached& action);
+    void act(const ReportUnreachable& action);
     void act(const BeginClaim& action);
     void act(const EndClaim& action);
     void act(const BeginPreparation& action);
--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -89,7 +89,7 @@
     order.again = wanted.again;
     order.halls = wanted.halls;
     order.result_bytes = resolved().spec.piece_stages[stage].result_bytes;
-    order.due_left = wanted.prompt_by
+    order.due_left = wanted.target_by
         - time_from_stage(*wanted.snapshot, resolved(), wanted.counts, stage);
     const std::vector<std::string> inputs = plan.inputs_of(stage);
     for (int segment = 0; segment < plan.count(stage); ++segment) {
--- a/src/libserve/pieces/piece_job.h
+++ b/src/libserve/pieces/piece_job.h
@@ -30,7 +30,7 @@
     std::string piece_key;
     int priority = 0;
     Micros deadline = 0;
-    Micros prompt_by = 0; ///< when the pieces must be made for a prompt answer
+    Micros target_by = 0; ///< when the pieces must be made for a prompt answer
     std::string near; ///< hall for the results; empty: where the prompt is kept
     bool follows_prompt = false; ///< the upstream that keeps the prompt decides the hall
     std::string reader_set; ///< the set whose leader chooses an upstream; empty: none
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -364,7 +364,7 @@
              {call.sent_at, connected, call.relay().call.attempt});
     };
     options.belongs = [this, &call](const HttpResponse& response) {
-        feed(AttemptBegun {call.send.attempt});
+        feed(ResponseStarted {call.send.attempt});
         return call.answer.attempt == call.relay().call.attempt
             || (call.answer.attempt.empty() && !is_success(response.status));
     };
--- a/src/open.admission/open.cpp
+++ b/src/open.admission/open.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Takes everything in.  A baseline to measure against.
+/// Admits every request.  Baseline for comparisons.
 
 #include <cypressford/admission.h>
 #include <cypressford/registry.h>
@@ -12,7 +12,7 @@
 class OpenAdmission final : public Admission {
 public:
     AdmissionVerdict admit(const AdmissionQuery&) const override { return {}; }
-    bool queues_here() const override { return false; }
+    bool queues_in_daemon() const override { return false; }
     bool drops_late() const override { return false; }
 };
 
--- a/testsuite/fuzz/relay_world.cpp
+++ b/testsuite/fuzz/relay_world.cpp
@@ -376,7 +376,7 @@
     RC_ASSERT(attempt.may_repeat || facts.runs == 1);
     const RequestId request = attempt.request;
     const bool cancelled = attempt.cancelled;
-    handle(request, AttemptBegun {id});
+    handle(request, ResponseStarted {id});
     if (!cancelled) {
         m_last = {request, InputsRead {id}};
         handle(request, m_last->second);
@@ -507,7 +507,7 @@
 }
 
 void
-RelayWorld::act(const ReportUnreached& action)
+RelayWorld::act(const ReportUnreachable& action)
 {
     // Of a request that an upstream has, nothing may be told.
     RC_ASSERT(!m_requests.at(action.request).forgotten);
--- a/testsuite/fuzz/relay_world.h
+++ b/testsuite/fuzz/relay_world.h
@@ -154,7 +154,7 @@
     void act(const BeginPreparation& action);
     void act(const CancelPreparation& action);
     void act(const ReleaseInputs& action);
-    void act(const ReportUnreached& action);
+    void act(const ReportUnreachable& action);
     void act(const Reply& action);
     void act(const Forget& action);
     void act(const BeginClaim& action);
--- a/testsuite/fuzz/world.h
+++ b/testsuite/fuzz/world.h
@@ -164,7 +164,7 @@
     void act(Daemon&, const BeginPreparation&) { }
     void act(Daemon&, const CancelPreparation&) { }
     void act(Daemon&, const ReleaseInputs&) { }
-    void act(Daemon&, const ReportUnreached&) { }
+    void act(Daemon&, const ReportUnreachable&) { }
     void act(Daemon& daemon, const Reply& action);
     void act(Daemon& daemon, const Forget& action);
     void end_attempt(Daemon& daemon, AttemptId attempt, AttemptStatus status,
