--- a/src/include/cypressford/cold.h
+++ b/src/include/cypressford/cold.h
@@ -54,7 +54,7 @@
     /// It is cold until then, at least.
     void note(Micros until);
     /// It may have turned cold just now.
-    void assume(Micros now);
+    void assume_cold(Micros now);
 
     /// True while it bears its rate only.
     bool is_cold(Micros now) const;
--- a/src/include/cypressford/limit_word.h
+++ b/src/include/cypressford/limit_word.h
@@ -23,9 +23,9 @@
     bool operator==(const LimitWord&) const = default;
 };
 
-using LimitWords = std::vector<LimitWord>;
+using LimitReports = std::vector<LimitWord>;
 
 /// A message carries no more of them; 40 bytes each.
-inline constexpr std::size_t kMaxLimitWords = 24;
+inline constexpr std::size_t kMaxLimitReports = 24;
 
 } // namespace cypressford
--- a/src/include/cypressford/piece_order.h
+++ b/src/include/cypressford/piece_order.h
@@ -53,7 +53,7 @@
     std::string hall;
     /// The leader has counted the call against the limit that the upstream names.
     bool is_counted = false;
-    LimitWords limits; ///< what the leader has heard otherwise, or later, than was told
+    LimitReports limits; ///< what the leader has heard otherwise, or later, than was told
 };
 
 std::string encode(const PlaceQuery& query);
--- a/src/include/cypressford/pieces.h
+++ b/src/include/cypressford/pieces.h
@@ -207,8 +207,8 @@
     void back_off(const UpstreamState& upstream, Micros until);
     /// It failed: left alone for a while that doubles each time, then tried with one
     /// group of pieces.
-    void note_failure(const UpstreamState& upstream, Micros now);
-    void note_success(const UpstreamState& upstream) { m_failures.erase(&upstream); }
+    void record_failure(const UpstreamState& upstream, Micros now);
+    void record_success(const UpstreamState& upstream) { m_failures.erase(&upstream); }
 
 private:
     /// Order of the pieces that wait.
--- a/src/include/cypressford/prompt_placer.h
+++ b/src/include/cypressford/prompt_placer.h
@@ -36,7 +36,7 @@
     /// are needed.  A prompt's engine is found in a hall with that probability.
     std::map<std::string, double> hall_parts;
     std::vector<std::string> avoid; ///< identities
-    LimitWords limits; ///< what the asking daemon has heard of limits of the set
+    LimitReports limits; ///< what the asking daemon has heard of limits of the set
     HallLimit halls; ///< it may be read there only
     std::string from; ///< hall of the daemon that will send it
     bool reserve = false; ///< false: only a question
@@ -79,7 +79,7 @@
     /// The answer ended, or the request was cancelled.
     void note_ended(const std::string& attempt);
     /// The request could not be given to the upstream chosen for it.
-    void note_unreached(const std::string& attempt, Micros now);
+    void record_unreachable(const std::string& attempt, Micros now);
 
 private:
     struct KeptPart {
--- a/src/include/cypressford/shared_rate.h
+++ b/src/include/cypressford/shared_rate.h
@@ -24,7 +24,7 @@
     int get() const { return m_count.load(std::memory_order_relaxed); }
 
     /// For so long a daemon that is gone is counted.
-    static constexpr Micros kKeep = 10 * kSecond;
+    static constexpr Micros kRemovalDelay = 10 * kSecond;
 
 private:
     std::atomic<int> m_count {1};
@@ -47,21 +47,21 @@
     /// The first call may go within one interval of `now`, at a point that the seed draws.
     void begin(double interval_us, Micros now);
     /// When the next call may go at the earliest.
-    Micros opens_at(double interval_us) const;
+    Micros next_allowed_at(double interval_us) const;
     /// Takes a call; false if none may go.
     bool take(double interval_us, Micros now);
 
 private:
-    Micros opens_after(Micros last, double interval_us) const;
+    Micros next_allowed_after(Micros last, double interval_us) const;
 
     /// Far enough from any time that the longest interval has passed since.
-    static constexpr Micros kLongAgo = std::numeric_limits<Micros>::min() / 2;
+    static constexpr Micros kDistantPast = std::numeric_limits<Micros>::min() / 2;
 
     const std::uint64_t m_seed;
     /// The last call, or a point of time in its place.  That the next call's time is worked
     /// out from it, with the rate and the daemons of that moment, lets a rate that goes up
     /// count at once.
-    std::atomic<Micros> m_last {kLongAgo};
+    std::atomic<Micros> m_last {kDistantPast};
 };
 
 /// What one daemon may send of a rate that all share.  Lock-free.
@@ -74,7 +74,7 @@
 /// one time.
 ///
 /// In any span of time all parts together stay within the rate times the span plus
-/// kSavedTime, in the mean; where parts are less than a call in the span, they add up as
+/// kBurstWindow, in the mean; where parts are less than a call in the span, they add up as
 /// independent calls do, and the bound for the sum must leave room for their spread.
 class SharedRate {
 public:
@@ -92,7 +92,7 @@
     /// 0: not bound.
     double per_s() const { return m_per_s.load(std::memory_order_relaxed); }
     /// Whether the set of the upstream has a leader.
-    void set_led(bool led) { m_led.store(led, std::memory_order_relaxed); }
+    void set_has_leader(bool led) { m_has_leader.store(led, std::memory_order_relaxed); }
 
     /// Calls a second of that part, of this daemon.  Only while it is set.
     double rate_of(RatePart part) const;
@@ -100,12 +100,12 @@
     /// the set grants it.
     double expected_rate() const;
     /// When the next call of that part may go; 0 if it isn't set.
-    Micros opens_at(RatePart part) const;
+    Micros next_allowed_at(RatePart part) const;
     /// Counts a call; false if none may go.  Always true while it isn't set.
     bool take(RatePart part, Micros now);
 
     /// A part that was not used for a while may send what it left of so much time at once.
-    static constexpr Micros kSavedTime = 250 * kMillisecond;
+    static constexpr Micros kBurstWindow = 250 * kMillisecond;
 
 private:
     const PartPacer& pacer(RatePart part) const
@@ -117,7 +117,7 @@
 
     const std::shared_ptr<const SharerCount> m_sharers;
     std::atomic<double> m_per_s {0};
-    std::atomic<bool> m_led {false};
+    std::atomic<bool> m_has_leader {false};
     PartPacer m_own;
     PartPacer m_granted;
 };
--- a/src/include/cypressford/silence.h
+++ b/src/include/cypressford/silence.h
@@ -14,16 +14,16 @@
 namespace cypressford {
 
 /// Signs of life of one daemon, as another one asks for them while an order waits there.
-class SilenceDetector {
+class UnresponsiveDetector {
 public:
     /// `daemons`: that may all ask the same one.
-    explicit SilenceDetector(int daemons)
-        : m_pace(std::clamp(daemons * kPacePerDaemon, kShortestPace, kLongestPace))
+    explicit UnresponsiveDetector(int daemons)
+        : m_pace(std::clamp(daemons * kIntervalPerDaemon, kShortestPace, kMaxInterval))
     {
     }
 
     /// How long to wait before the next sign is asked for; nothing: it is silent.
-    std::optional<Micros> next_pause(bool answered)
+    std::optional<Micros> next_interval(bool answered)
     {
         m_misses = answered ? 0 : m_misses + 1;
         if (m_misses > kMissesAllowed)
@@ -35,13 +35,13 @@
         return m_misses > 0 ? 0 : m_pace;
     }
     /// Before the first sign.
-    Micros first_pause() const { return m_pace; }
+    Micros first_interval() const { return m_pace; }
 
 private:
     /// One leader is asked by all daemons: some 1,400 signs a second at most.
-    static constexpr Micros kPacePerDaemon = 700;
+    static constexpr Micros kIntervalPerDaemon = 700;
     static constexpr Micros kShortestPace = 100 * kMillisecond;
-    static constexpr Micros kLongestPace = 200 * kMillisecond;
+    static constexpr Micros kMaxInterval = 200 * kMillisecond;
     /// Signs that may be missed in a row: one packet may be lost.
     static constexpr int kMissesAllowed = 1;
 
--- a/src/include/cypressford/unreachable_peers.h
+++ b/src/include/cypressford/unreachable_peers.h
@@ -24,16 +24,16 @@
 class UnreachablePeers {
 public:
     /// Of a fleet in parts; more than these are not worth their bytes.
-    static constexpr std::size_t kMost = 64;
+    static constexpr std::size_t kMaxPeers = 64;
 
     /// True if the daemon is to be asked for a sign of life now, and again until it gives
     /// one: a report alone may be the teller's fault.
     bool begin_check(const std::string& address)
     {
-        return m_checked.size() < kMost && m_checked.insert(address).second;
+        return m_checked.size() < kMaxPeers && m_checked.insert(address).second;
     }
     /// What came of asking.  True if the list changed.
-    bool note_check(const std::string& address, bool answers);
+    bool record_check(const std::string& address, bool answers);
 
     const UnreachableList& list() const { return m_list; }
 
--- a/src/include/cypressford/upstream.h
+++ b/src/include/cypressford/upstream.h
@@ -84,24 +84,24 @@
     /// True if the platform, a peer or the upstream itself says so.
     bool is_leaving(Micros now) const
     {
-        return leaving.load(std::memory_order_relaxed) || said->may_leave(now);
+        return leaving.load(std::memory_order_relaxed) || said->may_be_leaving(now);
     }
 
     /// Which run of which upstream this is.
     UpstreamRun run() const { return {identity, born}; }
 
     /// What its set says of all its upstreams.
-    void take_spec(const UpstreamSetSpec& spec);
+    void apply_spec(const UpstreamSetSpec& spec);
 
     /// Takes over a load report that was made at `at`.  Older ones are ignored.
     void apply_report(const LoadReport& report, Micros at);
 
     /// A whole answer came after `service_time`.
-    void note_success(Micros service_time, Micros now);
+    void record_success(Micros service_time, Micros now);
 
     /// A call failed.  After `limit` of them in a row the upstream is taken out
     /// for a while that doubles each time; true if that happened now.
-    bool note_failure(int limit, Micros now);
+    bool record_failure(int limit, Micros now);
 
     /// Marks it as leaving in its present incarnation.  Only a report of a
     /// later incarnation takes the mark away again.
@@ -139,7 +139,7 @@
     }
 
     /// Pieces of that priority took so much longer than their call alone takes.
-    void note_delay(int priority, Micros delay)
+    void record_delay(int priority, Micros delay)
     {
         auto& average = m_delays.at(static_cast<std::size_t>(priority));
         const Micros before = average.load(std::memory_order_relaxed);
@@ -180,7 +180,7 @@
 struct PipelineState {
     std::atomic<Micros> first_byte {0}; ///< from sending to an answer's head; average
 
-    void note_first_byte(Micros time)
+    void record_first_byte(Micros time)
     {
         constexpr Micros weight = 8;
         const Micros old = first_byte.load(std::memory_order_relaxed);
@@ -320,7 +320,7 @@
     void add_accounts(ResolvedBundle& resolved, const std::vector<AccountSpec>& accounts);
     void add_members(Snapshot& snapshot, const std::vector<UpstreamMember>& members);
     void add_member(UpstreamSet& set, const UpstreamMember& member);
-    void take_out(Snapshot& snapshot, const UpstreamMember& member);
+    void remove_member(Snapshot& snapshot, const UpstreamMember& member);
     void retire_unlisted(const std::vector<UpstreamMember>& members);
     void retire(UpstreamState& upstream);
 
--- a/src/include/cypressford/upstream_use.h
+++ b/src/include/cypressford/upstream_use.h
@@ -35,6 +35,6 @@
 
 /// Until when the upstream rests for this daemon or has had all calls of its limit; 0 or a
 /// past time: it is open.
-Micros closed_until(const UpstreamState& upstream, RatePart part);
+Micros unavailable_until(const UpstreamState& upstream, RatePart part);
 
 } // namespace cypressford
--- a/src/libcypressford/candidates.cpp
+++ b/src/libcypressford/candidates.cpp
@@ -185,9 +185,10 @@
 }
 
 Micros
-closed_until(const UpstreamState& upstream, RatePart part)
+unavailable_until(const UpstreamState& upstream, RatePart part)
 {
-    return std::max(upstream.said->rests_until(), upstream.said->limit().opens_at(part));
+    return std::max(upstream.said->backoff_until(),
+                    upstream.said->limit().next_allowed_at(part));
 }
 
 bool
@@ -201,7 +202,7 @@
 is_usable(const UpstreamState& upstream, Micros now, RatePart part)
 {
     return is_in_service(upstream, now) && !rests(upstream, now)
-        && upstream.said->limit().opens_at(part) <= now;
+        && upstream.said->limit().next_allowed_at(part) <= now;
 }
 
 void
@@ -329,7 +330,7 @@
         for (const auto& upstream : *side) {
             if (!is_in_service(*upstream, now) || !halls.allows(upstream->hall))
                 continue;
-            const Micros left = closed_until(*upstream, part) - now;
+            const Micros left = unavailable_until(*upstream, part) - now;
             if (left <= 0)
                 return 0;
             shortest = shortest == 0 ? left : std::min(shortest, left);
--- a/src/libcypressford/cold.cpp
+++ b/src/libcypressford/cold.cpp
@@ -17,15 +17,15 @@
 /// disagree, and of all daemons that choose by themselves.  The second is spread by chance
 /// and left small for that.
 constexpr double kGrantedPart = 0.5;
-constexpr double kSentPart = 0.25;
+constexpr double kUngrantedPart = 0.25;
 /// Keeps intervals finite.
-constexpr double kSmallestRate = 1e-6;
+constexpr double kMinRate = 1e-6;
 
 Micros
 interval_of(double calls_per_s)
 {
     return static_cast<Micros>(static_cast<double>(kSecond)
-                               / std::max(calls_per_s, kSmallestRate));
+                               / std::max(calls_per_s, kMinRate));
 }
 
 } // namespace
@@ -58,7 +58,7 @@
 }
 
 void
-ColdState::assume(Micros now)
+ColdState::assume_cold(Micros now)
 {
     if (const Micros time = m_time.load(std::memory_order_relaxed); time > 0)
         note(now + time);
@@ -86,7 +86,7 @@
 ColdState::own_rate(int daemons) const
 {
     const int sharers = mutated(Mutation::ColdBoundForEach) ? 1 : std::max(1, daemons);
-    return kSentPart * rate() / sharers;
+    return kUngrantedPart * rate() / sharers;
 }
 
 /// A point of the interval that begins when the upstream turns cold.
--- a/src/libcypressford/cold_test.cpp
+++ b/src/libcypressford/cold_test.cpp
@@ -106,7 +106,7 @@
     state.set_spec(kCold);
     CHECK(state.is_cold(0));
     CHECK_FALSE(state.is_cold(kSecond));
-    state.assume(2 * kSecond);
+    state.assume_cold(2 * kSecond);
     CHECK(state.is_cold(4 * kSecond));
     // An earlier end does not shorten it.
     state.note(3 * kSecond);
--- a/src/libcypressford/directory_feed_test.cpp
+++ b/src/libcypressford/directory_feed_test.cpp
@@ -195,8 +195,8 @@
     CHECK(peers.begin_check("10.0.0.1:1"));
     CHECK_FALSE(peers.begin_check("10.0.0.1:1"));
     CHECK_FALSE(reader.must_answer(query));
-    CHECK(peers.note_check("10.0.0.1:1", false));
-    CHECK_FALSE(peers.note_check("10.0.0.1:1", false));
+    CHECK(peers.record_check("10.0.0.1:1", false));
+    CHECK_FALSE(peers.record_check("10.0.0.1:1", false));
     CHECK(reader.must_answer(query));
     const auto told = decode_feed_answer(encode(reader.answer_to(query, 0)));
     REQUIRE(told);
@@ -208,7 +208,7 @@
     CHECK_FALSE(reader.must_answer(query));
     CHECK_FALSE(reader.answer_to(query, 0).unreachable);
     CHECK_FALSE(reader.must_answer(follower.query()));
-    CHECK(peers.note_check("10.0.0.1:1", true));
+    CHECK(peers.record_check("10.0.0.1:1", true));
     CHECK(reader.must_answer(query));
     CHECK(reader.answer_to(query, 0).unreachable->addresses.empty());
     CHECK(peers.begin_check("10.0.0.1:1"));
--- a/src/libcypressford/piece_order.cpp
+++ b/src/libcypressford/piece_order.cpp
@@ -138,7 +138,7 @@
 
 template <class Message>
 void
-write_limits(const LimitWords& limits, Message& out)
+write_limits(const LimitReports& limits, Message& out)
 {
     for (const LimitWord& word : limits) {
         proto::LimitWord* item = out.add_limits();
@@ -151,14 +151,14 @@
 
 /// Words that make no sense are left out.
 template <class Message>
-LimitWords
+LimitReports
 read_limits(const Message& in)
 {
-    LimitWords limits;
+    LimitReports limits;
     for (const proto::LimitWord& item : in.limits()) {
         const bool makes_sense
             = std::isfinite(item.per_s()) && item.per_s() >= 0 && item.ago_us() >= 0;
-        if (makes_sense && limits.size() < kMaxLimitWords)
+        if (makes_sense && limits.size() < kMaxLimitReports)
             limits.push_back({{item.identity(), item.born()}, item.per_s(), item.ago_us()});
     }
     return limits;
--- a/src/libcypressford/piece_queue.cpp
+++ b/src/libcypressford/piece_queue.cpp
@@ -368,7 +368,7 @@
 }
 
 void
-PieceQueue::note_failure(const UpstreamState& upstream, Micros now)
+PieceQueue::record_failure(const UpstreamState& upstream, Micros now)
 {
     const int before = m_failures[&upstream]++;
     m_backed_off[&upstream]
--- a/src/libcypressford/pieces_test.cpp
+++ b/src/libcypressford/pieces_test.cpp
@@ -293,13 +293,13 @@
     for (PieceId id = 1; id <= 4; ++id)
         queue.add(piece(id, id < 3 ? 1 : 3, 0, 100 * kSecond));
     const UpstreamState& upstream = *set.own.front();
-    queue.note_failure(upstream, 0);
+    queue.record_failure(upstream, 0);
     CHECK_FALSE(queue.next_call(set, 399 * kMillisecond));
-    queue.note_failure(upstream, 0);
+    queue.record_failure(upstream, 0);
     CHECK_FALSE(queue.next_call(set, 799 * kMillisecond));
     // One group only, since it may be lost time.
     CHECK(queue.next_call(set, 800 * kMillisecond)->pieces.size() == 2);
-    queue.note_success(upstream);
+    queue.record_success(upstream);
     CHECK(queue.next_call(set, 800 * kMillisecond)->pieces.size() == 2);
 }
 
--- a/src/libcypressford/prompt_placer.cpp
+++ b/src/libcypressford/prompt_placer.cpp
@@ -208,11 +208,11 @@
         // to the rest.
         if (upstream->cold.is_cold(now) && !upstream->cold.may_grant(now))
             continue;
-        if (upstream->said->limit().opens_at(RatePart::Granted) > now)
+        if (upstream->said->limit().next_allowed_at(RatePart::Granted) > now)
             continue;
         const bool is_near = keeps_near && upstream->hall == query.near;
         const bool is_avoided = m_switches.uses(Mechanism::SharedReach)
-            && m_reach.avoids(query.from, upstream->run(), upstream->hall, now);
+            && m_reach.should_avoid(query.from, upstream->run(), upstream->hall, now);
         result.push_back({upstream, cost(upstream, query, now),
                           weight_of(*upstream, query, key), is_near, is_avoided});
     }
@@ -286,7 +286,7 @@
     engine.unread += unread;
     ++engine.running;
     m_placed[query.attempt] = {upstream.run(), unread, now, upstream.hall, query.from};
-    m_reach.note_sent(query.from, upstream.run(), upstream.hall, now);
+    m_reach.record_sent(query.from, upstream.run(), upstream.hall, now);
     const auto capacity = static_cast<std::int64_t>(
         kKeptPart * static_cast<double>(set.spec.memory_tokens));
     for (const PrefixPart& part : query.parts)
@@ -302,17 +302,17 @@
     Placed& placed = it->second;
     m_engines[placed.run].unread -= placed.unread;
     placed.unread = 0;
-    m_reach.note_answered(placed.from, placed.run, placed.hall);
+    m_reach.record_answer(placed.from, placed.run, placed.hall);
 }
 
 void
-PromptPlacer::note_unreached(const std::string& attempt, Micros now)
+PromptPlacer::record_unreachable(const std::string& attempt, Micros now)
 {
     const auto it = m_placed.find(attempt);
     if (it == m_placed.end())
         return;
     const Placed& placed = it->second;
-    m_reach.note_unreached(placed.from, placed.run, placed.hall, now);
+    m_reach.record_unreachable(placed.from, placed.run, placed.hall, now);
     // It goes elsewhere now: its answer says nothing of this upstream.
     note_ended(attempt);
 }
--- a/src/libcypressford/reach_test.cpp
+++ b/src/libcypressford/reach_test.cpp
@@ -17,49 +17,51 @@
 namespace cypressford {
 namespace {
 
-constexpr Micros kSoon = ReachTable::kTryPace - 1;
+constexpr Micros kSoon = ReachTable::kRetryInterval - 1;
 
 TEST_CASE("an upstream that failed for one daemon is avoided by all, and tried again")
 {
     ReachTable table;
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"i1", 1}, "b", 0));
-    table.note_unreached("a", UpstreamRun {"i1", 1}, "b", 0);
-    CHECK(table.avoids("a", UpstreamRun {"i1", 1}, "b", kSoon));
-    CHECK(table.avoids("c", UpstreamRun {"i1", 1}, "b", kSoon));
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"i2", 1}, "b", kSoon));
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i1", 1}, "b", 0));
+    table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 0);
+    CHECK(table.should_avoid("a", UpstreamRun {"i1", 1}, "b", kSoon));
+    CHECK(table.should_avoid("c", UpstreamRun {"i1", 1}, "b", kSoon));
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i2", 1}, "b", kSoon));
     // One request tries it; the others wait for what becomes of that.
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"i1", 1}, "b", ReachTable::kTryPace));
-    table.note_sent("a", UpstreamRun {"i1", 1}, "b", ReachTable::kTryPace);
-    CHECK(table.avoids("c", UpstreamRun {"i1", 1}, "b", ReachTable::kTryPace + kSoon));
-    table.note_answered("a", UpstreamRun {"i1", 1}, "b");
     CHECK_FALSE(
-        table.avoids("c", UpstreamRun {"i1", 1}, "b", ReachTable::kTryPace + kSoon));
+        table.should_avoid("a", UpstreamRun {"i1", 1}, "b", ReachTable::kRetryInterval));
+    table.record_sent("a", UpstreamRun {"i1", 1}, "b", ReachTable::kRetryInterval);
+    CHECK(table.should_avoid("c", UpstreamRun {"i1", 1}, "b",
+                             ReachTable::kRetryInterval + kSoon));
+    table.record_answer("a", UpstreamRun {"i1", 1}, "b");
+    CHECK_FALSE(table.should_avoid("c", UpstreamRun {"i1", 1}, "b",
+                                   ReachTable::kRetryInterval + kSoon));
 }
 
 TEST_CASE("a hall whose upstreams fail one after the other is taken for cut off")
 {
     ReachTable table;
-    table.note_unreached("a", UpstreamRun {"i1", 1}, "b", 0);
-    table.note_unreached("a", UpstreamRun {"i1", 1}, "b", 1);
-    table.note_unreached("a", UpstreamRun {"i2", 1}, "b", 2);
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"i9", 1}, "b", 3));
-    table.note_unreached("a", UpstreamRun {"i3", 1}, "b", 3);
-    CHECK(table.avoids("a", UpstreamRun {"i9", 1}, "b", 4));
+    table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 0);
+    table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 1);
+    table.record_unreachable("a", UpstreamRun {"i2", 1}, "b", 2);
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i9", 1}, "b", 3));
+    table.record_unreachable("a", UpstreamRun {"i3", 1}, "b", 3);
+    CHECK(table.should_avoid("a", UpstreamRun {"i9", 1}, "b", 4));
     // Daemons of other halls may reach it.
-    CHECK_FALSE(table.avoids("c", UpstreamRun {"i9", 1}, "b", 4));
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"i8", 1}, "c", 4));
-    table.note_answered("a", UpstreamRun {"i4", 1}, "b");
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"i9", 1}, "b", 5));
+    CHECK_FALSE(table.should_avoid("c", UpstreamRun {"i9", 1}, "b", 4));
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i8", 1}, "c", 4));
+    table.record_answer("a", UpstreamRun {"i4", 1}, "b");
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i9", 1}, "b", 5));
 }
 
 TEST_CASE("answers in between keep single failures from closing a hall")
 {
     ReachTable table;
     for (int i = 0; i < 20; ++i) {
-        table.note_unreached("a", UpstreamRun {"dead-" + std::to_string(i), 1}, "b", i);
-        table.note_answered("a", UpstreamRun {"sound", 1}, "b");
+        table.record_unreachable("a", UpstreamRun {"dead-" + std::to_string(i), 1}, "b", i);
+        table.record_answer("a", UpstreamRun {"sound", 1}, "b");
     }
-    CHECK_FALSE(table.avoids("a", UpstreamRun {"other", 1}, "b", 20));
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"other", 1}, "b", 20));
 }
 
 /// Prompts of daemons in five halls for 160 engines while one hall is cut off: what the
@@ -115,7 +117,7 @@
                 m_placer.note_begun(outcome.attempt);
                 m_placer.note_ended(outcome.attempt);
             } else {
-                m_placer.note_unreached(outcome.attempt, now);
+                m_placer.record_unreachable(outcome.attempt, now);
             }
             m_outcomes.erase(m_outcomes.begin());
         }
--- a/src/libcypressford/restart_test.cpp
+++ b/src/libcypressford/restart_test.cpp
@@ -97,7 +97,7 @@
         return table.build(bundle, {member})->sets.front().own.front();
     };
     const auto before = only(100);
-    before->note_failure(1, kSecond);
+    before->record_failure(1, kSecond);
     before->in_flight = 3;
     const auto after = only(200);
     CHECK(after != before);
--- a/src/libcypressford/scheduler_routing.cpp
+++ b/src/libcypressford/scheduler_routing.cpp
@@ -284,7 +284,7 @@
     if (attempt.upstream->answered_at.load(std::memory_order_relaxed) > attempt.sent_at)
         return;
     report_unreached(attempt);
-    if (options.eject && may_eject(attempt) && attempt.upstream->note_failure(1, now))
+    if (options.eject && may_eject(attempt) && attempt.upstream->record_failure(1, now))
         ++counters.ejections;
     // Its end is still to come, as lost.
     if (!attempt.once)
--- a/src/libcypressford/scheduler_settling.cpp
+++ b/src/libcypressford/scheduler_settling.cpp
@@ -19,7 +19,7 @@
     switch (status) {
     case AttemptStatus::Ok:
     case AttemptStatus::Rejected:
-        upstream.note_success(took, now);
+        upstream.record_success(took, now);
         break;
     case AttemptStatus::Leaving:
         upstream.mark_leaving();
@@ -36,7 +36,7 @@
             report_unreached(attempt);
         if (!attempt.cancelled && options.eject && is_evidence(attempt, status)
             && may_eject(attempt)
-            && upstream.note_failure(
+            && upstream.record_failure(
                 status == AttemptStatus::NotSent ? 1 : kFailuresToEject, now))
             ++counters.ejections;
         break;
--- a/src/libcypressford/self_report.cpp
+++ b/src/libcypressford/self_report.cpp
@@ -27,7 +27,7 @@
 
 /// True if a connection that came up then may be to the run that started at `born`.
 bool
-may_be_to(std::int64_t connected_ms, std::int64_t born)
+may_belong_to_run(std::int64_t connected_ms, std::int64_t born)
 {
     return connected_ms != 0 && connected_ms + kClockErrorMs >= born;
 }
@@ -35,62 +35,65 @@
 } // namespace
 
 void
-SelfReport::note_leaving(Micros now, std::int64_t connected_ms)
+SelfReport::record_leaving(Micros now, std::int64_t connected_ms)
 {
     // The first time counts: who is drained says so for seconds before it ends, so that
     // word is told from that of a run that has just started.
-    if (m_leaves.exchange(true, std::memory_order_relaxed))
+    if (m_leaving.exchange(true, std::memory_order_relaxed))
         return;
-    m_leaving_heard.store(now, std::memory_order_relaxed);
+    m_leaving_received_at.store(now, std::memory_order_relaxed);
     m_leaving_connected_ms.store(connected_ms, std::memory_order_relaxed);
 }
 
 void
 SelfReport::note_rest(Micros until, std::int64_t connected_ms)
 {
-    m_rest_connected_ms.store(connected_ms, std::memory_order_relaxed);
-    Micros known = rests_until();
+    m_backoff_connected_ms.store(connected_ms, std::memory_order_relaxed);
+    Micros known = backoff_until();
     while (known < until
-           && !m_rests_until.compare_exchange_weak(known, until,
-                                                   std::memory_order_relaxed)) { }
+           && !m_backoff_until.compare_exchange_weak(known, until,
+                                                     std::memory_order_relaxed)) { }
 }
 
 void
 SelfReport::inherit(const SelfReport& before, std::int64_t born)
 {
-    if (may_be_to(before.m_leaving_connected_ms.load(std::memory_order_relaxed), born))
-        m_may_leave_until.store(before.m_leaving_heard.load(std::memory_order_relaxed)
-                                    + kMayLeaveTime,
-                                std::memory_order_relaxed);
-    const std::int64_t rest_on = before.m_rest_connected_ms.load(std::memory_order_relaxed);
-    if (may_be_to(rest_on, born))
-        note_rest(before.rests_until(), rest_on);
+    if (may_belong_to_run(before.m_leaving_connected_ms.load(std::memory_order_relaxed),
+                          born))
+        m_may_be_leaving_until.store(
+            before.m_leaving_received_at.load(std::memory_order_relaxed)
+                + kMayBeLeavingTime,
+            std::memory_order_relaxed);
+    const std::int64_t rest_on
+        = before.m_backoff_connected_ms.load(std::memory_order_relaxed);
+    if (may_belong_to_run(rest_on, born))
+        note_rest(before.backoff_until(), rest_on);
     const std::int64_t limit_on
         = before.m_limit_connected_ms.load(std::memory_order_relaxed);
-    if (!may_be_to(limit_on, born))
+    if (!may_belong_to_run(limit_on, born))
         return;
     m_limit.adopt(before.m_limit);
     m_limit_connected_ms.store(limit_on, std::memory_order_relaxed);
 }
 
 bool
-SelfReport::note_limit(std::optional<double> per_s, Micros sent, Micros now,
-                       std::int64_t connected_ms)
+SelfReport::record_limit(std::optional<double> per_s, Micros sent, Micros now,
+                         std::int64_t connected_ms)
 {
-    const bool is_newer = sent > m_limit_heard.load(std::memory_order_relaxed);
+    const bool is_newer = sent > m_limit_received_at.load(std::memory_order_relaxed);
     const double before = m_limit.per_s();
-    if (!per_s || *per_s > kNoLimit) {
+    if (!per_s || *per_s > kMaxLimitPerS) {
         if (before > 0 && is_newer)
             end_limit(sent);
         return m_limit.per_s() != before;
     }
-    const double named = std::max(*per_s, kLeastLimit);
+    const double named = std::max(*per_s, kMinLimitPerS);
     if (is_newer)
         m_limit.set(named, now);
     else
         lower_limit(named, now);
     m_limit_connected_ms.store(connected_ms, std::memory_order_relaxed);
-    m_limit_heard.store(now, std::memory_order_relaxed);
+    m_limit_received_at.store(now, std::memory_order_relaxed);
     return m_limit.per_s() != before;
 }
 
@@ -107,22 +110,22 @@
 {
     if (mutated(Mutation::LimitStays))
         return;
-    m_limit_ended.store(sent, std::memory_order_relaxed);
+    m_limit_ended_at.store(sent, std::memory_order_relaxed);
     m_limit.clear();
 }
 
 bool
-SelfReport::note_word(const LimitWord& word, Micros now)
+SelfReport::apply_limit_report(const LimitWord& word, Micros now)
 {
     const double before = m_limit.per_s();
     const Micros at = now - word.ago;
-    const Micros heard = m_limit_heard.load(std::memory_order_relaxed);
+    const Micros heard = m_limit_received_at.load(std::memory_order_relaxed);
     if (word.per_s <= 0) {
-        if (before > 0 && at - kWordDelay > heard)
-            end_limit(at - kWordDelay);
-    } else if (at > std::max(heard, m_limit_ended.load(std::memory_order_relaxed))) {
-        m_limit.set(std::max(word.per_s, kLeastLimit), now);
-        m_limit_heard.store(at, std::memory_order_relaxed);
+        if (before > 0 && at - kReportDelay > heard)
+            end_limit(at - kReportDelay);
+    } else if (at > std::max(heard, m_limit_ended_at.load(std::memory_order_relaxed))) {
+        m_limit.set(std::max(word.per_s, kMinLimitPerS), now);
+        m_limit_received_at.store(at, std::memory_order_relaxed);
     }
     return m_limit.per_s() != before;
 }
@@ -131,15 +134,16 @@
 SelfReport::word(const UpstreamRun& run, Micros now) const
 {
     if (const double per_s = m_limit.per_s(); per_s > 0)
-        return LimitWord {run, per_s, now - m_limit_heard.load(std::memory_order_relaxed)};
-    const Micros ended = m_limit_ended.load(std::memory_order_relaxed);
-    if (ended != 0 && now - ended < kTellEnd)
+        return LimitWord {run, per_s,
+                          now - m_limit_received_at.load(std::memory_order_relaxed)};
+    const Micros ended = m_limit_ended_at.load(std::memory_order_relaxed);
+    if (ended != 0 && now - ended < kEndReportTime)
         return LimitWord {run, 0, now - ended};
     return std::nullopt;
 }
 
 std::shared_ptr<SelfReport>
-SelfReports::unnamed(std::uint64_t seed) const
+SelfReports::make_unregistered(std::uint64_t seed) const
 {
     return std::make_shared<SelfReport>(m_seed ^ seed, m_sharers);
 }
@@ -150,7 +154,7 @@
     const auto it = m_known.try_emplace(key_of(run)).first;
     Known& known = it->second;
     if (!known.report) {
-        known.report = unnamed(UpstreamRunHash {}(run));
+        known.report = make_unregistered(UpstreamRunHash {}(run));
         const bool has_before
             = it != m_known.begin() && std::prev(it)->first.identity == it->first.identity;
         if (has_before)
@@ -173,14 +177,14 @@
     it->second.is_listed = false;
     ++it->second.unlisted;
     m_unlisted.push_back(it->first);
-    if (m_unlisted.size() > kUnlisted)
-        forget_oldest();
+    if (m_unlisted.size() > kMaxUnlisted)
+        evict_oldest();
 }
 
 /// One that was listed again meanwhile stays, and so does one that was unlisted once more
 /// since.
 void
-SelfReports::forget_oldest()
+SelfReports::evict_oldest()
 {
     const auto it = m_known.find(m_unlisted.front());
     m_unlisted.pop_front();
--- a/src/libcypressford/self_report_test.cpp
+++ b/src/libcypressford/self_report_test.cpp
@@ -48,7 +48,7 @@
         return result;
     };
     const auto first = table.build(bundle, {member(1)})->sets[0].own[0];
-    first->said->note_leaving();
+    first->said->record_leaving();
     table.build(bundle, {});
     const auto back = table.build(bundle, {member(1)})->sets[0].own[0];
     CHECK(back->is_leaving(0));
@@ -75,16 +75,16 @@
     for (const std::int64_t connected : {born + 50, born - 60'000}) {
         SelfReports reports;
         const auto before = reports.of({"i1", born - 90'000});
-        before->note_leaving(heard, connected);
+        before->record_leaving(heard, connected);
         // Later words of a run that is drained say no more.
-        before->note_leaving(heard + 1, born + 50);
+        before->record_leaving(heard + 1, born + 50);
         const auto next = reports.of({"i1", born});
-        CHECK(next->may_leave(heard + 1) == (connected > born));
+        CHECK(next->may_be_leaving(heard + 1) == (connected > born));
         // One that was drained and started again in place is not out for good.
-        CHECK_FALSE(next->may_leave(heard + SelfReport::kMayLeaveTime));
+        CHECK_FALSE(next->may_be_leaving(heard + SelfReport::kMayBeLeavingTime));
         CHECK_FALSE(next->leaves());
-        next->note_leaving(heard, born + 100);
-        CHECK(next->may_leave(heard + SelfReport::kMayLeaveTime));
+        next->record_leaving(heard, born + 100);
+        CHECK(next->may_be_leaving(heard + SelfReport::kMayBeLeavingTime));
     }
 }
 
@@ -107,12 +107,12 @@
 TEST_CASE("reports of runs that are gone are bounded, those of listed ones stay")
 {
     SelfReports reports;
-    reports.of({"stays", 1})->note_leaving();
+    reports.of({"stays", 1})->record_leaving();
     reports.unlist({"stays", 1});
     reports.of({"stays", 1});
-    reports.of({"goes", 1})->note_leaving();
+    reports.of({"goes", 1})->record_leaving();
     reports.unlist({"goes", 1});
-    for (std::size_t i = 0; i < SelfReports::kUnlisted; ++i) {
+    for (std::size_t i = 0; i < SelfReports::kMaxUnlisted; ++i) {
         const UpstreamRun run {"other", static_cast<std::int64_t>(i)};
         reports.of(run);
         reports.unlist(run);
@@ -126,7 +126,7 @@
     for (const bool leaves : {false, true}) {
         Fleet fleet;
         if (leaves)
-            fleet.ia->said->note_leaving();
+            fleet.ia->said->record_leaving();
         else
             fleet.ia->said->note_rest(kRest);
         for (int i = 0; i < 4; ++i)
@@ -143,7 +143,7 @@
     fleet.ib->said->note_rest(kRest);
     REQUIRE(fleet.arrive() == fleet.ia.get());
     const AttemptId attempt = fleet.find<SendAttempt>()->attempt;
-    fleet.ia->said->note_leaving();
+    fleet.ia->said->record_leaving();
     CHECK_FALSE(begin_call(*fleet.ia, CallCount::Own, fleet.now));
     fleet.now = kRest;
     fleet.handle(AttemptEnded {attempt, AttemptStatus::Withheld});
@@ -212,7 +212,7 @@
     CHECK(placer.place(set, query, 0) == nullptr);
     // One that leaves is left by all.
     query.avoid = {};
-    fleet.ib->said->note_leaving();
+    fleet.ib->said->record_leaving();
     CHECK(placer.place(set, query, 0) == fleet.ia);
 }
 
@@ -227,7 +227,7 @@
     piece.due = piece.deadline = 10 * kSecond;
     queue.add(piece);
     fleet.ia->said->note_rest(kRest);
-    fleet.ib->said->note_leaving();
+    fleet.ib->said->record_leaving();
     CHECK_FALSE(queue.next_call(set, 0));
     CHECK(queue.expected_wait(set, 0, 0) >= kRest);
     const auto call = queue.next_call(set, kRest);
--- a/src/libcypressford/shared_rate.cpp
+++ b/src/libcypressford/shared_rate.cpp
@@ -32,7 +32,7 @@
     const bool is_fewer = alive < get() && !mutated(Mutation::ForgetSharers);
     if (is_fewer && m_fewer_since == 0)
         m_fewer_since = now;
-    if (is_fewer && now - m_fewer_since < kKeep)
+    if (is_fewer && now - m_fewer_since < kRemovalDelay)
         return;
     m_fewer_since = 0;
     m_count.store(alive, std::memory_order_relaxed);
@@ -46,7 +46,7 @@
 }
 
 Micros
-PartPacer::opens_after(Micros last, double interval_us) const
+PartPacer::next_allowed_after(Micros last, double interval_us) const
 {
     const double part
         = kShortestInterval + spread(m_seed ^ static_cast<std::uint64_t>(last));
@@ -54,9 +54,9 @@
 }
 
 Micros
-PartPacer::opens_at(double interval_us) const
+PartPacer::next_allowed_at(double interval_us) const
 {
-    return opens_after(m_last.load(std::memory_order_relaxed), interval_us);
+    return next_allowed_after(m_last.load(std::memory_order_relaxed), interval_us);
 }
 
 bool
@@ -64,10 +64,10 @@
 {
     Micros last = m_last.load(std::memory_order_relaxed);
     for (;;) {
-        const Micros opens = opens_after(last, interval_us);
+        const Micros opens = next_allowed_after(last, interval_us);
         if (opens > now)
             return false;
-        const Micros taken = std::max(opens, now - SharedRate::kSavedTime);
+        const Micros taken = std::max(opens, now - SharedRate::kBurstWindow);
         if (m_last.compare_exchange_weak(last, taken, std::memory_order_relaxed))
             return true;
     }
@@ -104,14 +104,14 @@
     if (part == RatePart::Granted)
         return kGrantedPart * per_s();
     const double own
-        = m_led.load(std::memory_order_relaxed) ? kOwnPart : kOwnPartWithoutLeader;
+        = m_has_leader.load(std::memory_order_relaxed) ? kOwnPart : kOwnPartWithoutLeader;
     return own * per_s() / sharers();
 }
 
 double
 SharedRate::expected_rate() const
 {
-    const bool led = m_led.load(std::memory_order_relaxed);
+    const bool led = m_has_leader.load(std::memory_order_relaxed);
     const double granted = led ? rate_of(RatePart::Granted) / sharers() : 0;
     return rate_of(RatePart::Own) + granted;
 }
@@ -123,9 +123,9 @@
 }
 
 Micros
-SharedRate::opens_at(RatePart part) const
+SharedRate::next_allowed_at(RatePart part) const
 {
-    return is_set() ? pacer(part).opens_at(interval_of(part)) : 0;
+    return is_set() ? pacer(part).next_allowed_at(interval_of(part)) : 0;
 }
 
 bool
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -47,7 +47,7 @@
         m_count->set(daemons, 0);
         for (int daemon = 0; daemon < daemons; ++daemon) {
             m_rates.push_back(std::make_unique<SharedRate>(77 + daemon, m_count));
-            m_rates.back()->set_led(led);
+            m_rates.back()->set_has_leader(led);
             m_rates.back()->set(per_s, 0);
         }
     }
@@ -101,13 +101,13 @@
     play(sharers, 10 * kSecond, 0);
     SharedRate& rate = sharers.of(3);
     rate.set(900, 10 * kSecond);
-    CHECK(rate.opens_at(RatePart::Own) <= 10 * kSecond + 20 * kMillisecond);
+    CHECK(rate.next_allowed_at(RatePart::Own) <= 10 * kSecond + 20 * kMillisecond);
     CHECK(rate.take(RatePart::Own, 10 * kSecond + 20 * kMillisecond));
     rate.set(1, 11 * kSecond);
     CHECK_FALSE(rate.take(RatePart::Own, 12 * kSecond));
     rate.clear();
     CHECK(rate.take(RatePart::Own, 12 * kSecond));
-    CHECK(rate.opens_at(RatePart::Own) == 0);
+    CHECK(rate.next_allowed_at(RatePart::Own) == 0);
 }
 
 TEST_CASE("a daemon that is gone is counted for a while")
@@ -115,11 +115,11 @@
     SharerCount count;
     count.set(8, 0);
     count.set(3, kSecond);
-    count.set(3, SharerCount::kKeep);
+    count.set(3, SharerCount::kRemovalDelay);
     CHECK(count.get() == 8);
-    count.set(3, kSecond + SharerCount::kKeep);
+    count.set(3, kSecond + SharerCount::kRemovalDelay);
     CHECK(count.get() == 3);
-    count.set(4, 2 * kSecond + SharerCount::kKeep);
+    count.set(4, 2 * kSecond + SharerCount::kRemovalDelay);
     CHECK(count.get() == 4);
 }
 
@@ -128,30 +128,30 @@
 TEST_CASE("a limit holds until a call that was sent after it finds none")
 {
     SelfReport said;
-    CHECK(said.note_limit(5.0, 1, 100));
+    CHECK(said.record_limit(5.0, 1, 100));
     CHECK(said.limit().per_s() == 5);
     // The answer to a call that was sent before overtook it.
-    CHECK_FALSE(said.note_limit({}, 99, 200));
+    CHECK_FALSE(said.record_limit({}, 99, 200));
     CHECK(said.limit().is_set());
-    CHECK_FALSE(said.note_limit(7.0, 99, 201));
+    CHECK_FALSE(said.record_limit(7.0, 99, 201));
     CHECK(said.limit().per_s() == 5);
-    CHECK(said.note_limit(7.0, 202, 210));
+    CHECK(said.record_limit(7.0, 202, 210));
     CHECK(said.limit().per_s() == 7);
-    CHECK(said.note_limit({}, 211, 220));
+    CHECK(said.record_limit({}, 211, 220));
     CHECK_FALSE(said.limit().is_set());
 }
 
 TEST_CASE("a limit of nothing leaves calls that learn of its end, an absurd one is none")
 {
     SelfReport said;
-    said.note_limit(0.0, 1, 2);
-    CHECK(said.limit().per_s() == SelfReport::kLeastLimit);
-    said.note_limit(1e-300, 3, 4);
-    CHECK(said.limit().per_s() == SelfReport::kLeastLimit);
-    said.note_limit(1e300, 5, 6);
+    said.record_limit(0.0, 1, 2);
+    CHECK(said.limit().per_s() == SelfReport::kMinLimitPerS);
+    said.record_limit(1e-300, 3, 4);
+    CHECK(said.limit().per_s() == SelfReport::kMinLimitPerS);
+    said.record_limit(1e300, 5, 6);
     CHECK_FALSE(said.limit().is_set());
-    CHECK(said.note_unread_limit());
-    CHECK_FALSE(said.note_unread_limit());
+    CHECK(said.record_unreadable_limit());
+    CHECK_FALSE(said.record_unreadable_limit());
 }
 
 TEST_CASE("limits that change with each answer let no more through than the highest")
@@ -159,7 +159,7 @@
     SelfReport said;
     std::vector<Micros> sent;
     for (Micros now = 1; now < 20 * kSecond; now += 10 * kMillisecond) {
-        said.note_limit(now / 10 % 2 == 0 ? 1.0 : 2.0, now - 1, now);
+        said.record_limit(now / 10 % 2 == 0 ? 1.0 : 2.0, now - 1, now);
         if (said.limit().take(RatePart::Own, now))
             sent.push_back(now);
     }
@@ -172,23 +172,23 @@
     const UpstreamRun run {"i1", 7};
     SelfReport leader;
     SelfReport daemon;
-    daemon.note_limit(3.0, 1, kSecond);
-    CHECK(leader.note_word(*daemon.word(run, kSecond), kSecond));
+    daemon.record_limit(3.0, 1, kSecond);
+    CHECK(leader.apply_limit_report(*daemon.word(run, kSecond), kSecond));
     CHECK(leader.limit().per_s() == 3);
     // Another daemon finds that it has ended.
     SelfReport other;
-    other.note_limit(3.0, 1, kSecond);
-    other.note_limit({}, 2 * kSecond, 2 * kSecond + 1);
-    CHECK(leader.note_word(*other.word(run, 3 * kSecond), 3 * kSecond));
+    other.record_limit(3.0, 1, kSecond);
+    other.record_limit({}, 2 * kSecond, 2 * kSecond + 1);
+    CHECK(leader.apply_limit_report(*other.word(run, 3 * kSecond), 3 * kSecond));
     CHECK_FALSE(leader.limit().is_set());
     // The first one has heard nothing since.
-    CHECK_FALSE(leader.note_word(*daemon.word(run, 4 * kSecond), 4 * kSecond));
-    CHECK(daemon.note_word(*leader.word(run, 4 * kSecond), 4 * kSecond));
+    CHECK_FALSE(leader.apply_limit_report(*daemon.word(run, 4 * kSecond), 4 * kSecond));
+    CHECK(daemon.apply_limit_report(*leader.word(run, 4 * kSecond), 4 * kSecond));
     CHECK_FALSE(daemon.limit().is_set());
-    CHECK_FALSE(leader.word(run, 4 * kSecond + SelfReport::kTellEnd));
+    CHECK_FALSE(leader.word(run, 4 * kSecond + SelfReport::kEndReportTime));
     // It names one again.
-    other.note_limit(2.0, 5 * kSecond, 5 * kSecond);
-    CHECK(leader.note_word(*other.word(run, 5 * kSecond), 5 * kSecond));
+    other.record_limit(2.0, 5 * kSecond, 5 * kSecond);
+    CHECK(leader.apply_limit_report(*other.word(run, 5 * kSecond), 5 * kSecond));
     CHECK(leader.limit().per_s() == 2);
 }
 
@@ -197,7 +197,7 @@
     constexpr std::int64_t born = 1'000'000;
     for (const std::int64_t heard : {born + 50, born - 60'000}) {
         SelfReports reports;
-        reports.of({"i1", born - 90'000})->note_limit(1.0, 0, 1, heard);
+        reports.of({"i1", born - 90'000})->record_limit(1.0, 0, 1, heard);
         SharedRate& limit = reports.of({"i1", born})->limit();
         CHECK(limit.is_set() == (heard > born));
         CHECK(limit.take(RatePart::Own, kSecond));
@@ -211,21 +211,21 @@
 {
     Fleet fleet;
     UpstreamState& ia = *fleet.ia;
-    ia.said->note_limit(1.0, 0, 1);
-    const Micros opens = ia.said->limit().opens_at(RatePart::Own);
+    ia.said->record_limit(1.0, 0, 1);
+    const Micros opens = ia.said->limit().next_allowed_at(RatePart::Own);
     CHECK_FALSE(begin_call(ia, CallCount::Own, opens - 1));
     CHECK(begin_call(ia, CallCount::Own, opens));
     CHECK_FALSE(begin_call(ia, CallCount::Own, opens));
     // The leader counted it when it granted it.
     CHECK(begin_call(ia, CallCount::Counted, opens));
-    ia.said->note_leaving();
+    ia.said->record_leaving();
     CHECK_FALSE(begin_call(ia, CallCount::Counted, opens));
 }
 
 TEST_CASE("others take what a limited upstream can't")
 {
     Fleet fleet;
-    fleet.ia->said->note_limit(1.0, 0, 1);
+    fleet.ia->said->record_limit(1.0, 0, 1);
     fleet.now = 1;
     int at_limited = 0;
     for (int i = 0; i < 40; ++i) {
@@ -250,14 +250,14 @@
     FleetSpec spec;
     spec.target_latency = 2 * kSecond;
     Fleet fleet(spec);
-    fleet.ib->said->note_leaving();
-    fleet.ia->said->note_limit(10.0, 0, 1);
+    fleet.ib->said->record_leaving();
+    fleet.ia->said->record_limit(10.0, 0, 1);
     fleet.now = 2;
     REQUIRE(fleet.arrive() == nullptr);
     REQUIRE_FALSE(fleet.find<Reply>());
     // Its place comes later than it was counted on.
-    fleet.ia->said->note_limit(0.2, 3, 4);
-    const Micros opens = fleet.ia->said->limit().opens_at(RatePart::Own);
+    fleet.ia->said->record_limit(0.2, 3, 4);
+    const Micros opens = fleet.ia->said->limit().next_allowed_at(RatePart::Own);
     REQUIRE(opens > spec.target_latency);
     fleet.now = opens - 100 * kMillisecond;
     fleet.handle(Tick {});
@@ -276,8 +276,8 @@
 {
     Fleet fleet;
     const UpstreamSet& set = fleet.snapshot->sets[0];
-    fleet.ia->said->note_limit(2.0, 0, 1);
-    fleet.ib->said->note_leaving();
+    fleet.ia->said->record_limit(2.0, 0, 1);
+    fleet.ib->said->record_leaving();
     PromptPlacer placer;
     std::vector<Micros> placed;
     for (Micros now = 1; now < 20 * kSecond; now += 50 * kMillisecond) {
@@ -298,8 +298,8 @@
     Fleet fleet;
     UpstreamSet set = fleet.snapshot->sets[0];
     set.spec.batch = BatchSpec {8, 2, 150 * kMillisecond, 16 * kMillisecond, 0, 0};
-    fleet.ia->said->note_limit(1.0, 0, 1);
-    fleet.ib->said->note_leaving();
+    fleet.ia->said->record_limit(1.0, 0, 1);
+    fleet.ib->said->record_leaving();
     PieceQueue queue;
     for (PieceId id = 1; id <= 80; ++id) {
         WaitingPiece piece;
--- a/src/libcypressford/silence_test.cpp
+++ b/src/libcypressford/silence_test.cpp
@@ -14,14 +14,14 @@
 Micros
 time_to_notice(int daemons, Micros cut_at)
 {
-    SilenceDetector detector(daemons);
-    std::optional<Micros> pause = detector.first_pause();
+    UnresponsiveDetector detector(daemons);
+    std::optional<Micros> pause = detector.first_interval();
     Micros now = 0;
     while (pause) {
         now += *pause;
         const bool answered = now < cut_at;
         now += answered ? 0 : kSignWait;
-        pause = detector.next_pause(answered);
+        pause = detector.next_interval(answered);
     }
     return now - cut_at;
 }
@@ -39,13 +39,13 @@
 
 TEST_CASE("many daemons ask one leader less often, and one lost sign is forgiven")
 {
-    CHECK(SilenceDetector(9).first_pause() == 100 * kMillisecond);
-    CHECK(SilenceDetector(700).first_pause() == 200 * kMillisecond);
-    SilenceDetector detector(9);
-    CHECK(detector.next_pause(false) == 0);
-    CHECK(detector.next_pause(true) == 100 * kMillisecond);
-    CHECK(detector.next_pause(false) == 0);
-    CHECK_FALSE(detector.next_pause(false));
+    CHECK(UnresponsiveDetector(9).first_interval() == 100 * kMillisecond);
+    CHECK(UnresponsiveDetector(700).first_interval() == 200 * kMillisecond);
+    UnresponsiveDetector detector(9);
+    CHECK(detector.next_interval(false) == 0);
+    CHECK(detector.next_interval(true) == 100 * kMillisecond);
+    CHECK(detector.next_interval(false) == 0);
+    CHECK_FALSE(detector.next_interval(false));
 }
 
 } // namespace
--- a/src/libcypressford/upstream.cpp
+++ b/src/libcypressford/upstream.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 void
-UpstreamState::note_success(Micros service_time, Micros now)
+UpstreamState::record_success(Micros service_time, Micros now)
 {
     failures.store(0, std::memory_order_relaxed);
     ejections.store(0, std::memory_order_relaxed);
@@ -29,7 +29,7 @@
 }
 
 bool
-UpstreamState::note_failure(int limit, Micros now)
+UpstreamState::record_failure(int limit, Micros now)
 {
     const int in_row = failures.fetch_add(1, std::memory_order_relaxed) + 1;
     const int before = ejections.load(std::memory_order_relaxed);
@@ -53,7 +53,7 @@
         return;
     if (report.incarnation > known) {
         if (known != 0)
-            cold.assume(at);
+            cold.assume_cold(at);
         incarnation.store(report.incarnation, std::memory_order_relaxed);
         leaving.store(report.leaving, std::memory_order_relaxed);
     } else if (report.leaving) {
@@ -100,7 +100,7 @@
 
 /// Callers without a credential share an account that has no name.
 void
-add_nobody(ResolvedBundle& bundle)
+add_anonymous_account(ResolvedBundle& bundle)
 {
     constexpr double unbounded = 1e9;
     AccountSpec spec;
@@ -193,7 +193,7 @@
             resolved->paths_by_host[spec.host].add(spec.path_prefix, index, spec.weight);
     }
     add_accounts(*resolved, bundle.accounts);
-    add_nobody(*resolved);
+    add_anonymous_account(*resolved);
     return resolved;
 }
 
@@ -248,7 +248,7 @@
             (hall == m_hall ? set.own : set.remote).push_back(upstream(address, hall));
     for (const auto* side : {&set.own, &set.remote})
         for (const auto& state : *side)
-            state->take_spec(spec);
+            state->apply_spec(spec);
     return set;
 }
 
@@ -259,7 +259,7 @@
     auto& state = m_upstreams[key_of(address, run)];
     if (!state) {
         auto said = run.identity.empty()
-            ? m_reports.unnamed(std::hash<std::string> {}(address))
+            ? m_reports.make_unregistered(std::hash<std::string> {}(address))
             : m_reports.of(run);
         state = std::make_shared<UpstreamState>(address, hall, run.identity, m_seed,
                                                 run.born, std::move(said));
@@ -295,7 +295,7 @@
         const bool evacuated = is_evacuated(state->hall);
         const bool before = state->evacuated.exchange(evacuated, std::memory_order_relaxed);
         if (before && !evacuated)
-            state->cold.assume(now);
+            state->cold.assume_cold(now);
     }
 }
 
--- a/src/libcypressford/upstream_members.cpp
+++ b/src/libcypressford/upstream_members.cpp
@@ -26,7 +26,7 @@
 
 /// Upstreams of a set stand in the order of their identities, as the platform lists them.
 Upstreams::iterator
-place_of(Upstreams& upstreams, const std::string& identity)
+position_of(Upstreams& upstreams, const std::string& identity)
 {
     return std::lower_bound(
         upstreams.begin(), upstreams.end(), identity,
@@ -36,10 +36,10 @@
 } // namespace
 
 void
-UpstreamState::take_spec(const UpstreamSetSpec& spec)
+UpstreamState::apply_spec(const UpstreamSetSpec& spec)
 {
     cold.set_spec(spec.cold);
-    said->limit().set_led(spec.has_leader());
+    said->limit().set_has_leader(spec.has_leader());
 }
 
 void
@@ -57,21 +57,21 @@
     state->slots.store(member.slots, std::memory_order_relaxed);
     if (member.leaving)
         state->mark_leaving();
-    state->take_spec(set.spec);
+    state->apply_spec(set.spec);
     state->cold.note(member.cold_until);
     Upstreams& side = member.hall == m_hall ? set.own : set.remote;
-    side.insert(place_of(side, member.identity), std::move(state));
+    side.insert(position_of(side, member.identity), std::move(state));
     set.revision = m_generation;
 }
 
 void
-UpstreamTable::take_out(Snapshot& snapshot, const UpstreamMember& member)
+UpstreamTable::remove_member(Snapshot& snapshot, const UpstreamMember& member)
 {
     UpstreamSet* set = find_set(snapshot, member.upstream_set);
     if (!set)
         return;
     Upstreams& side = member.hall == m_hall ? set->own : set->remote;
-    const auto at = place_of(side, member.identity);
+    const auto at = position_of(side, member.identity);
     if (at != side.end() && (*at)->identity == member.identity)
         side.erase(at);
     set->revision = m_generation;
@@ -89,7 +89,7 @@
     snapshot->generation = ++m_generation;
     for (const MemberChange& change : changes) {
         if (change.before)
-            take_out(*snapshot, *change.before);
+            remove_member(*snapshot, *change.before);
         if (change.now)
             if (UpstreamSet* set = find_set(*snapshot, change.now->upstream_set))
                 add_member(*set, *change.now);
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -240,7 +240,7 @@
         bool answers = true;
         if (is_known)
             answers = co_await gives_sign(peers_address);
-        if (m_view.unreachable().note_check(peers_address, answers)) {
+        if (m_view.unreachable().record_check(peers_address, answers)) {
             LogEvent("peer_checked", LogLevel::Warn)
                 .kv("peer", peers_address)
                 .kv("answers", answers)
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -259,7 +259,7 @@
     if (it == m_contexts.end() || !it->second->relay || !m_kernel.pieces)
         return;
     const RequestContext& context = *it->second;
-    m_kernel.pieces->note_unreached(context.set_name(), context.relay->call.attempt);
+    m_kernel.pieces->record_unreachable(context.set_name(), context.relay->call.attempt);
 }
 
 void
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -164,7 +164,7 @@
     Result<void> check_suspicion(const HttpRequest& request, const CallerCall& call,
                                  const std::string& account);
     /// A relayed request was answered whole.
-    void note_answered(const RequestContext& context);
+    void record_answer(const RequestContext& context);
     /// Seeded by this worker.
     std::uint64_t hash_of(const HttpRequest& request, const CallerCall& call,
                           const std::string& account) const;
--- a/src/libserve/peers/peer_link.cpp
+++ b/src/libserve/peers/peer_link.cpp
@@ -105,8 +105,8 @@
 PeerLink::watch(std::string address)
 {
     BootTimer timer(m_io);
-    SilenceDetector detector(m_kernel.daemons.load());
-    std::optional<Micros> pause = detector.first_pause();
+    UnresponsiveDetector detector(m_kernel.daemons.load());
+    std::optional<Micros> pause = detector.first_interval();
     while (pause) {
         timer.expires_after(std::chrono::microseconds(*pause));
         co_await timer.async_wait(kToTuple);
@@ -114,7 +114,7 @@
             break;
         // Any answer will do: a daemon that is stopping finishes what it has.
         const int status = co_await sign_of(address);
-        pause = detector.next_pause(status != 0);
+        pause = detector.next_interval(status != 0);
     }
     if (!pause)
         cancel_orders(address);
--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -67,14 +67,14 @@
     return identities;
 }
 
-LimitWords
+LimitReports
 PieceJob::limit_words(Micros now) const
 {
     return cypressford::limit_words(reader_set(), now);
 }
 
 void
-PieceJob::take_words(const LimitWords& words, Micros now) const
+PieceJob::take_words(const LimitReports& words, Micros now) const
 {
     cypressford::take_words(reader_set(), words, now);
 }
--- a/src/libserve/pieces/piece_maker.cpp
+++ b/src/libserve/pieces/piece_maker.cpp
@@ -358,7 +358,7 @@
     else if (answered && said.not_run)
         queue.back_off(*call.upstream, now + kBackOffWhenFull);
     else if (status != CallStatus::Withheld)
-        queue.note_failure(*call.upstream, now);
+        queue.record_failure(*call.upstream, now);
     const bool arrived = answered || status == CallStatus::Lost;
     for (const PieceId id : call.pieces) {
         queue.memory().give_back(id);
@@ -373,7 +373,7 @@
 {
     const std::string& set_name = set.spec.name;
     PieceQueue& queue = line_of(set_name).queue;
-    queue.note_success(*call.upstream);
+    queue.record_success(*call.upstream);
     const bool lacked_memory
         = std::any_of(results.begin(), results.end(),
                       [](const auto& r) { return r.outcome == PieceOutcome::NoMemory; });
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -194,8 +194,8 @@
     if (made) {
         const UpstreamSet& set = job->set_of(stage);
         const Micros plain = call_time(set.spec, job->plan.count(stage));
-        set.load->note_delay(job->wanted.priority,
-                             std::max<Micros>(0, monotonic_us() - started - plain));
+        set.load->record_delay(job->wanted.priority,
+                               std::max<Micros>(0, monotonic_us() - started - plain));
     }
     const bool is_over = job->failed || job->cancelled;
     if (made && !is_over) {
@@ -335,7 +335,7 @@
 }
 
 void
-PieceService::note_unreached(std::string set_name, std::string attempt)
+PieceService::record_unreachable(std::string set_name, std::string attempt)
 {
     asio::post(m_io, [this, set_name = std::move(set_name), attempt = std::move(attempt)] {
         m_outbox.add_unreached(set_name, attempt);
--- a/src/libserve/pieces/piece_service.h
+++ b/src/libserve/pieces/piece_service.h
@@ -45,7 +45,7 @@
     void note_begun(std::string set_name, std::string attempt);
     void note_ended(std::string set_name, std::string attempt);
     /// A request could not be given to the upstream chosen for it.
-    void note_unreached(std::string set_name, std::string attempt);
+    void record_unreachable(std::string set_name, std::string attempt);
     void take_daemons(std::vector<DaemonRecord> records);
     /// Daemons that don't answer the reader of this one's hall, and no others.
     void take_unreachable(std::set<std::string> addresses);
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -87,7 +87,7 @@
 {
     for (;;) {
         const Micros now = monotonic_us();
-        const Micros opens = closed_until(*keeper, RatePart::Granted);
+        const Micros opens = unavailable_until(*keeper, RatePart::Granted);
         if (opens <= now && keeper->said->limit().take(RatePart::Granted, now))
             co_return;
         BootTimer timer(m_io);
--- a/src/libserve/pieces/set_leader.cpp
+++ b/src/libserve/pieces/set_leader.cpp
@@ -140,7 +140,7 @@
     if (const auto placer = m_placers.find(releases.upstream_set);
         placer != m_placers.end()) {
         for (const std::string& attempt : releases.unreached)
-            placer->second.note_unreached(attempt, monotonic_us());
+            placer->second.record_unreachable(attempt, monotonic_us());
         for (const std::string& attempt : releases.begun)
             placer->second.note_begun(attempt);
         for (const std::string& attempt : releases.ended)
--- a/src/libserve/relay/attempt.cpp
+++ b/src/libserve/relay/attempt.cpp
@@ -115,7 +115,7 @@
         .kv("first_byte_us", context->relay ? context->relay->first_byte : 0)
         .kv("us", monotonic_us() - started);
     if (context->relay && status == AttemptStatus::Ok)
-        note_answered(*context);
+        record_answer(*context);
     context->calls.erase(send.attempt);
     m_attempts.erase(send.attempt);
     feed(AttemptEnded {send.attempt, status});
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -334,7 +334,7 @@
     if (!relay.head)
         relay.head = passed_on(head);
     relay.first_byte = monotonic_us() - call.sent_at;
-    call.context->resolved().state->note_first_byte(relay.first_byte);
+    call.context->resolved().state->record_first_byte(relay.first_byte);
     if (call.context->spec.asks_leader)
         m_kernel.pieces->note_begun(call.context->set_name(), relay.call.attempt);
     feed(InputsRead {call.send.attempt});
--- a/src/libserve/relay/suspicion.cpp
+++ b/src/libserve/relay/suspicion.cpp
@@ -39,12 +39,12 @@
         return {};
     if (!m_answered.contains(hash_of(request, call, account)))
         return fail(ErrorKind::Quarantined, to_text(digest));
-    m_kernel.ends->note_answered(digest);
+    m_kernel.ends->record_answer(digest);
     return {};
 }
 
 void
-Worker::note_answered(const RequestContext& context)
+Worker::record_answer(const RequestContext& context)
 {
     const Relay& relay = *context.relay;
     m_answered.note(hash_of(relay.request, relay.call, context.account));
@@ -53,7 +53,7 @@
         return;
     const RequestDigest digest = digest_of(relay.request, relay.call, context.account);
     if (suspects->is_suspect(digest))
-        m_kernel.ends->note_answered(digest);
+        m_kernel.ends->record_answer(digest);
 }
 
 std::uint64_t
--- a/src/libserve/suspects/end_watch.cpp
+++ b/src/libserve/suspects/end_watch.cpp
@@ -41,7 +41,7 @@
 }
 
 void
-EndWatch::note_answered(const RequestDigest& digest)
+EndWatch::record_answer(const RequestDigest& digest)
 {
     asio::post(m_io, [this, digest] {
         if (m_on_answered)
--- a/src/libserve/suspects/end_watch.h
+++ b/src/libserve/suspects/end_watch.h
@@ -43,7 +43,7 @@
     /// May be called from any thread, as the next one.
     void note(BrokenRun run);
     /// A suspect was answered whole.
-    void note_answered(const RequestDigest& digest);
+    void record_answer(const RequestDigest& digest);
 
 private:
     void take(BrokenRun run);
--- a/src/libserve/upstream_says.cpp
+++ b/src/libserve/upstream_says.cpp
@@ -18,14 +18,14 @@
     if (answer.cold_left > 0)
         upstream.cold.note(now + answer.cold_left);
     if (answer.leaves)
-        said.note_leaving(now, connected_ms);
+        said.record_leaving(now, connected_ms);
     if (answer.rest > 0)
         said.note_rest(now + answer.rest, connected_ms);
     // One that can't be read says neither that there is a limit nor that there is none.
     const bool is_clear = answer.limit_per_s || !answer.limit_unread;
     const bool limit_changed
-        = is_clear && said.note_limit(answer.limit_per_s, origin.sent, now, connected_ms);
-    const bool is_new_fault = answer.limit_unread && said.note_unread_limit();
+        = is_clear && said.record_limit(answer.limit_per_s, origin.sent, now, connected_ms);
+    const bool is_new_fault = answer.limit_unread && said.record_unreadable_limit();
     if (!answer.leaves && answer.rest == 0 && !answer.rest_unread && !limit_changed
         && !is_new_fault)
         return;
@@ -55,26 +55,26 @@
 
 } // namespace
 
-LimitWords
+LimitReports
 limit_words(const UpstreamSet& set, Micros now)
 {
-    LimitWords words;
+    LimitReports words;
     for_each_upstream(set, [&](const UpstreamState& upstream) {
         const auto word = upstream.said->word(upstream.run(), now);
-        if (word && words.size() < kMaxLimitWords)
+        if (word && words.size() < kMaxLimitReports)
             words.push_back(*word);
     });
     return words;
 }
 
 void
-take_words(const UpstreamSet& set, const LimitWords& words, Micros now)
+take_words(const UpstreamSet& set, const LimitReports& words, Micros now)
 {
     if (words.empty())
         return;
     for_each_upstream(set, [&](const UpstreamState& upstream) {
         for (const LimitWord& word : words) {
-            if (word.run != upstream.run() || !upstream.said->note_word(word, now))
+            if (word.run != upstream.run() || !upstream.said->apply_limit_report(word, now))
                 continue;
             LogEvent("limit_told")
                 .kv("upstream", upstream.address)
@@ -86,10 +86,10 @@
     });
 }
 
-LimitWords
-later_words(const UpstreamSet& set, const LimitWords& words, Micros now)
+LimitReports
+later_words(const UpstreamSet& set, const LimitReports& words, Micros now)
 {
-    LimitWords later;
+    LimitReports later;
     if (words.empty())
         return later;
     for (const LimitWord& own : limit_words(set, now))
--- a/src/libserve/upstream_says.h
+++ b/src/libserve/upstream_says.h
@@ -25,12 +25,12 @@
           const AnswerOrigin& origin);
 
 /// What there is to tell other daemons of limits that upstreams of the set name.
-LimitWords limit_words(const UpstreamSet& set, Micros now);
+LimitReports limit_words(const UpstreamSet& set, Micros now);
 
 /// Takes over what another daemon tells of them.
-void take_words(const UpstreamSet& set, const LimitWords& words, Micros now);
+void take_words(const UpstreamSet& set, const LimitReports& words, Micros now);
 
 /// What this daemon has heard otherwise, or later, of the limits that `words` tell of.
-LimitWords later_words(const UpstreamSet& set, const LimitWords& words, Micros now);
+LimitReports later_words(const UpstreamSet& set, const LimitReports& words, Micros now);
 
 } // namespace cypressford
--- a/testsuite/fuzz/relay_fuzz.cpp
+++ b/testsuite/fuzz/relay_fuzz.cpp
@@ -106,7 +106,7 @@
     explicit LimitedSender(int number, std::shared_ptr<const SharerCount> sharers)
         : report(seed_of(number), std::move(sharers))
     {
-        report.limit().set_led(true);
+        report.limit().set_has_leader(true);
     }
 
     /// Sends a call if it may, whose answer comes at once; true if it is one that counts.
@@ -115,7 +115,7 @@
         if (!report.limit().take(part, now))
             return false;
         const bool counts = told_at > 0 && now - told_at >= kTellingTime;
-        report.note_limit(limit, now, now);
+        report.record_limit(limit, now, now);
         if (told_at == 0)
             told_at = now;
         return counts;
@@ -143,7 +143,7 @@
         const auto cut_at = *rc::gen::inRange<Micros>(4 * kSecond, 12 * kSecond);
         constexpr Micros time = 24 * kSecond;
         constexpr Micros contact = 3 * kSecond;
-        constexpr Micros cut_for = SharerCount::kKeep - kSecond;
+        constexpr Micros cut_for = SharerCount::kRemovalDelay - kSecond;
         const auto sharers = std::make_shared<SharerCount>();
         std::vector<std::unique_ptr<LimitedSender>> senders;
         senders.reserve(static_cast<std::size_t>(daemons));
--- a/testsuite/fuzz/relay_upstreams.cpp
+++ b/testsuite/fuzz/relay_upstreams.cpp
@@ -31,7 +31,7 @@
     if (!state)
         return;
     facts.leaves = true;
-    state->said->note_leaving();
+    state->said->record_leaving();
 }
 
 void
@@ -43,7 +43,7 @@
         return;
     const Micros until
         = m_now + static_cast<Micros>(1 + number / 7 % 30) * 100 * kMillisecond;
-    facts.rests_until = std::max(facts.rests_until, until);
+    facts.backoff_until = std::max(facts.backoff_until, until);
     state->said->note_rest(until);
 }
 
@@ -59,7 +59,8 @@
     const double named = limits.at(number / 7 % limits.size());
     const double before = facts.limit_per_s;
     const bool is_newer = m_now > facts.limit_heard;
-    state->said->note_limit(named > 0 ? std::optional(named) : std::nullopt, m_now, m_now);
+    state->said->record_limit(named > 0 ? std::optional(named) : std::nullopt, m_now,
+                              m_now);
     if (named == 0) {
         facts.limit_per_s = is_newer ? 0 : before;
     } else {
@@ -82,7 +83,7 @@
     ++facts.member.born;
     facts.listed = true;
     facts.leaves = false;
-    facts.rests_until = 0;
+    facts.backoff_until = 0;
     facts.limit_per_s = 0;
     facts.limit_heard = 0;
     list_upstreams();
@@ -105,7 +106,7 @@
             continue;
         RC_ASSERT(state->born == facts.member.born);
         RC_ASSERT(state->said->leaves() == facts.leaves);
-        RC_ASSERT(state->said->rests_until() == facts.rests_until);
+        RC_ASSERT(state->said->backoff_until() == facts.backoff_until);
         RC_ASSERT(state->said->limit().per_s() == facts.limit_per_s);
     }
 }
@@ -118,7 +119,7 @@
             continue;
         ++facts.calls_since;
         // The only daemon there is has all of the limit, and one call in hand.
-        const Micros lasted = m_now - facts.limited_since + SharedRate::kSavedTime;
+        const Micros lasted = m_now - facts.limited_since + SharedRate::kBurstWindow;
         const double may
             = 1 + 1.5 * facts.limit_per_s * static_cast<double>(lasted) / kSecond;
         RC_ASSERT(facts.calls_since <= may);
@@ -139,7 +140,7 @@
         RC_ASSERT(facts.listed);
         RC_ASSERT(facts.member.born == state.born);
         RC_ASSERT(!facts.leaves);
-        RC_ASSERT(facts.rests_until <= m_now);
+        RC_ASSERT(facts.backoff_until <= m_now);
     }
 }
 
--- a/testsuite/fuzz/relay_world.h
+++ b/testsuite/fuzz/relay_world.h
@@ -66,7 +66,7 @@
     UpstreamMember member;
     bool listed = true;
     bool leaves = false;
-    Micros rests_until = 0;
+    Micros backoff_until = 0;
     double limit_per_s = 0; ///< that it names; 0: none
     Micros limit_heard = 0;
     Micros limited_since = 0; ///< by that limit
