--- a/src/include/cypressford/limit_word.h
+++ b/src/include/cypressford/limit_word.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one daemon tells another of the limit that an upstream names.
+/// Report about an upstream's announced rate limit, from one daemon to another.
 
 #pragma once
 
@@ -15,9 +15,9 @@
 
 struct LimitWord {
     UpstreamRun run;
-    double per_s = 0; ///< requests a second; 0: it names none any more
-    /// How long ago an answer named it; for none, how long ago the call was sent whose
-    /// answer named none.
+    double per_s = 0; ///< requests per second; 0: no limit any more
+    /// Age of the answer that announced the limit; if there is none any more, the time
+    /// since the call was sent whose answer announced none.
     Micros ago = 0;
 
     bool operator==(const LimitWord&) const = default;
@@ -25,7 +25,7 @@
 
 using LimitReports = std::vector<LimitWord>;
 
-/// A message carries no more of them; 40 bytes each.
+/// Maximum number of reports in one message; 40 bytes each.
 inline constexpr std::size_t kMaxLimitReports = 24;
 
 } // namespace cypressford
--- a/src/include/cypressford/self_report.h
+++ b/src/include/cypressford/self_report.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a run of an upstream has said of itself to this daemon, in any answer.
+/// What one run of an upstream has reported about itself to this daemon, in any answer.
 
 #pragma once
 
@@ -21,9 +21,9 @@
 
 namespace cypressford {
 
-/// Binds all senders of this daemon until the run ends: the platform's list may be minutes
-/// behind (the store away), and one that turned a call away for want of room gets more of
-/// them by each sender that doesn't know.  Lock-free.
+/// Applies to all senders of this daemon until the run ends: the platform's list may be
+/// minutes behind (store unavailable), and an overloaded upstream that rejected one call
+/// would get more from every sender that has not seen its answer.  Lock-free.
 class SelfReport {
 public:
     explicit SelfReport(std::uint64_t seed = 0,
@@ -32,58 +32,61 @@
     {
     }
 
-    /// The run is leaving; it can't take that back.  `connected_ms`: when the connection
-    /// came up on which it said so, by this daemon's time of day; 0: not known.
+    /// The run is leaving; this is final.  `connected_ms`: when the connection was set up
+    /// that carried the report, by this daemon's wall clock; 0: unknown.
     void record_leaving(Micros now = 0, std::int64_t connected_ms = 0);
     bool leaves() const { return m_leaving.load(std::memory_order_relaxed); }
-    /// True as well while the run before may have said it in this one's place.
+    /// Also true while the report may have been attributed to the previous run by mistake.
     bool may_be_leaving(Micros now) const
     {
         return leaves() || m_may_be_leaving_until.load(std::memory_order_relaxed) > now;
     }
 
-    /// The run wants nothing from this daemon until then.  Of several, the latest counts.
-    /// `connected_ms`: as for leaving.
+    /// The run requests no calls from this daemon until then.  The latest end applies.
+    /// `connected_ms`: as for record_leaving().
     void note_rest(Micros until, std::int64_t connected_ms = 0);
-    /// Takes over what `before`, a run of the same upstream, may not have said itself:
-    /// answers name no run, and the next one, which started at `born`, answers before the
-    /// platform's list tells of it.  All connections to a run end with it, so what was
-    /// heard on one that came up before `born` was said by the run before.  Clocks leave a
-    /// doubt: for one that was drained and started again in place, it ends after
-    /// kMayBeLeavingTime. At a limit that is taken over, few daemons have a connection that
-    /// young, so the call that each sends at once to learn of it adds little.
+    /// Copies from `before`, the previous run of the same upstream, the reports that this
+    /// run may have made: answers don't identify the run, and a run that started at `born`
+    /// answers before the platform's list shows it.  All connections to a run end with it,
+    /// so a report on a connection set up before `born` came from the previous run.  Clock
+    /// errors leave some doubt, so a copied leaving mark expires after kMayBeLeavingTime,
+    /// for an upstream that was drained and restarted in place.  A copied limit lets each
+    /// daemon send one call at once to verify it; few daemons have a connection that young,
+    /// so these calls add little.
     void inherit(const SelfReport& before, std::int64_t born);
     Micros backoff_until() const { return m_backoff_until.load(std::memory_order_relaxed); }
     bool rests(Micros now) const { return backoff_until() > now; }
 
-    /// The answer to a call that was sent at `sent` names how many requests a second the
-    /// run takes from all daemons together, or nothing.  A limit holds until the answer to
-    /// a call that was sent after it was heard names none: answers overtake each other.
-    /// `connected_ms`: as for a rest.  True if that changes the limit.
+    /// An answer announced how many requests per second the run accepts from all daemons
+    /// together, or no limit; its call was sent at `sent`.  Answers may overtake each
+    /// other, so a limit holds until a call that was sent after it was received returns
+    /// none.  `connected_ms`: as for record_leaving().  True if the limit changed.
     bool record_limit(std::optional<double> per_s, Micros sent, Micros now,
                       std::int64_t connected_ms = 0);
-    /// An answer names a limit in a way that can't be read.  True the first time.
+    /// An answer announced a limit that can't be parsed.  True the first time.
     bool record_unreadable_limit()
     {
         return !m_limit_unreadable.exchange(true, std::memory_order_relaxed);
     }
-    /// What another daemon has heard, told with as little delay as kReportDelay.  True if
-    /// that changes the limit.
-    bool apply_limit_report(const LimitWord& word, Micros now);
-    /// What there is to tell: the limit, or that it has ended, for kEndReportTime.
+    /// Applies a report of another daemon; `now` is at most kReportDelay after it was sent.
+    /// True if the limit changed.
+    bool apply_limit_report(const LimitWord& report, Micros now);
+    /// The report to send: the limit, or for kEndReportTime the fact that it has ended.
     std::optional<LimitWord> word(const UpstreamRun& run, Micros now) const;
-    /// What this daemon may send of the run's limit.
+    /// This daemon's part of the run's limit.
     SharedRate& limit() { return m_limit; }
     const SharedRate& limit() const { return m_limit; }
 
-    /// A run that leaves has ended by then; one that does not gets calls again.
+    /// A run that is leaving has ended by then; otherwise it gets calls again.
     static constexpr Micros kMayBeLeavingTime = 30 * kSecond;
-    /// Requests a second that a limit stands for at least.  One of 0 would leave no call
-    /// that could tell of its end; so few stay within the excess that any limit allows.
+    /// Lower announced limits are raised to this.  A limit of 0 would leave no call whose
+    /// answer could end it; this few calls stay within the excess that any limit allows.
     static constexpr double kMinLimitPerS = 0.05;
+    /// The end of a limit is reported to other daemons for this time.
     static constexpr Micros kEndReportTime = 10 * kSecond;
+    /// Allowance for the delay of a report between daemons.
     static constexpr Micros kReportDelay = 100 * kMillisecond;
-    /// More than this is no limit: no upstream bears it.
+    /// Higher announced limits count as none: no upstream handles more.
     static constexpr double kMaxLimitPerS = 1e6;
 
 private:
@@ -91,24 +94,24 @@
     void end_limit(Micros sent);
 
     std::atomic<bool> m_leaving {false};
-    std::atomic<Micros> m_leaving_received_at {0}; ///< the first time
+    std::atomic<Micros> m_leaving_received_at {0}; ///< of the first report
     std::atomic<std::int64_t> m_leaving_connected_ms {0};
     std::atomic<Micros> m_may_be_leaving_until {0};
     std::atomic<Micros> m_backoff_until {0};
     std::atomic<std::int64_t> m_backoff_connected_ms {0};
     SharedRate m_limit;
-    std::atomic<Micros> m_limit_received_at {0}; ///< last answer that named one
+    std::atomic<Micros> m_limit_received_at {0}; ///< of the last answer that announced one
     std::atomic<std::int64_t> m_limit_connected_ms {0};
     std::atomic<bool> m_limit_unreadable {false};
-    std::atomic<Micros> m_limit_ended_at {0}; ///< when the call was sent that found none
+    std::atomic<Micros> m_limit_ended_at {0}; ///< when the call that found none was sent
 };
 
-/// The reports of all runs, also of those that the platform lists no more: an entry lapses
-/// while the store is away and comes back, and the run has not started again by that.
+/// The reports of all runs, including those that the platform no longer lists: an entry may
+/// expire while the store is unavailable and return later without a restart of the run.
 /// Not thread-safe.
 class SelfReports {
 public:
-    /// `seed`: drawn by this daemon.
+    /// `seed`: random, one per daemon.
     explicit SelfReports(std::uint64_t seed = 0,
                          std::shared_ptr<const SharerCount> sharers = nullptr)
         : m_seed(seed)
@@ -116,29 +119,29 @@
     {
     }
 
-    /// The report of a run, a new one if there is none.
+    /// The report of a run; created if there is none.
     std::shared_ptr<SelfReport> of(const UpstreamRun& run);
-    /// A report that is kept by its upstream alone.
+    /// A report that only its upstream refers to.
     std::shared_ptr<SelfReport> make_unregistered(std::uint64_t seed) const;
-    /// The run is listed no more.  Its report is kept until so many others were unlisted
-    /// after it.
+    /// The run is no longer listed.  Its report is kept until kMaxUnlisted other runs have
+    /// been unlisted after it.
     void unlist(const UpstreamRun& run);
 
-    /// Runs that are listed no more and still known.  10,000 upstreams may be unlisted at a
-    /// time when their entries lapse; each takes some 300 bytes.
+    /// Maximum number of unlisted runs whose reports are kept.  10,000 upstreams may be
+    /// unlisted at a time when their entries expire; each takes some 300 bytes.
     static constexpr std::size_t kMaxUnlisted = 16'384;
 
 private:
-    struct Known {
+    struct Entry {
         std::shared_ptr<SelfReport> report;
-        std::size_t unlisted = 0; ///< how often it stands in m_unlisted
+        std::size_t unlisted = 0; ///< number of times it is in m_unlisted
         bool is_listed = true;
     };
     void evict_oldest();
 
     const std::uint64_t m_seed;
     const std::shared_ptr<const SharerCount> m_sharers;
-    std::map<UpstreamRun, Known> m_known;
+    std::map<UpstreamRun, Entry> m_entries;
     std::deque<UpstreamRun> m_unlisted; ///< oldest first
 };
 
--- a/src/libcypressford/self_report.cpp
+++ b/src/libcypressford/self_report.cpp
@@ -12,11 +12,12 @@
 
 namespace {
 
-/// Clocks of an upstream and of this daemon may differ by so much, as those of daemons do
-/// for keys.  A rest that is taken over without need costs a started upstream a few calls.
+/// Largest assumed difference between the clocks of an upstream and of this daemon, as for
+/// the clocks of daemons for keys.  A backoff copied in error costs a restarted upstream a
+/// few calls.
 constexpr std::int64_t kClockErrorMs = 2000;
 
-/// What a report belongs to.
+/// Key of the run's report.
 UpstreamRun
 key_of(const UpstreamRun& run)
 {
@@ -25,7 +26,7 @@
     return run;
 }
 
-/// True if a connection that came up then may be to the run that started at `born`.
+/// True if a connection set up at `connected_ms` may be to the run that started at `born`.
 bool
 may_belong_to_run(std::int64_t connected_ms, std::int64_t born)
 {
@@ -37,8 +38,8 @@
 void
 SelfReport::record_leaving(Micros now, std::int64_t connected_ms)
 {
-    // The first time counts: who is drained says so for seconds before it ends, so that
-    // word is told from that of a run that has just started.
+    // Only the first report counts: a draining run repeats it for seconds before it ends,
+    // and its time distinguishes it from a report of a run that has just started.
     if (m_leaving.exchange(true, std::memory_order_relaxed))
         return;
     m_leaving_received_at.store(now, std::memory_order_relaxed);
@@ -64,16 +65,16 @@
             before.m_leaving_received_at.load(std::memory_order_relaxed)
                 + kMayBeLeavingTime,
             std::memory_order_relaxed);
-    const std::int64_t rest_on
+    const std::int64_t backoff_connected_ms
         = before.m_backoff_connected_ms.load(std::memory_order_relaxed);
-    if (may_belong_to_run(rest_on, born))
-        note_rest(before.backoff_until(), rest_on);
-    const std::int64_t limit_on
+    if (may_belong_to_run(backoff_connected_ms, born))
+        note_rest(before.backoff_until(), backoff_connected_ms);
+    const std::int64_t limit_connected_ms
         = before.m_limit_connected_ms.load(std::memory_order_relaxed);
-    if (!may_belong_to_run(limit_on, born))
+    if (!may_belong_to_run(limit_connected_ms, born))
         return;
     m_limit.adopt(before.m_limit);
-    m_limit_connected_ms.store(limit_on, std::memory_order_relaxed);
+    m_limit_connected_ms.store(limit_connected_ms, std::memory_order_relaxed);
 }
 
 bool
@@ -87,17 +88,17 @@
             end_limit(sent);
         return m_limit.per_s() != before;
     }
-    const double named = std::max(*per_s, kMinLimitPerS);
+    const double announced = std::max(*per_s, kMinLimitPerS);
     if (is_newer)
-        m_limit.set(named, now);
+        m_limit.set(announced, now);
     else
-        lower_limit(named, now);
+        lower_limit(announced, now);
     m_limit_connected_ms.store(connected_ms, std::memory_order_relaxed);
     m_limit_received_at.store(now, std::memory_order_relaxed);
     return m_limit.per_s() != before;
 }
 
-/// Of two answers that were under way at one time either may be the later word.
+/// For answers to concurrent calls the order is unknown, so the lower limit applies.
 void
 SelfReport::lower_limit(double per_s, Micros now)
 {
@@ -115,16 +116,17 @@
 }
 
 bool
-SelfReport::apply_limit_report(const LimitWord& word, Micros now)
+SelfReport::apply_limit_report(const LimitWord& report, Micros now)
 {
     const double before = m_limit.per_s();
-    const Micros at = now - word.ago;
-    const Micros heard = m_limit_received_at.load(std::memory_order_relaxed);
-    if (word.per_s <= 0) {
-        if (before > 0 && at - kReportDelay > heard)
+    const Micros at = now - report.ago;
+    const Micros received_at = m_limit_received_at.load(std::memory_order_relaxed);
+    if (report.per_s <= 0) {
+        if (before > 0 && at - kReportDelay > received_at)
             end_limit(at - kReportDelay);
-    } else if (at > std::max(heard, m_limit_ended_at.load(std::memory_order_relaxed))) {
-        m_limit.set(std::max(word.per_s, kMinLimitPerS), now);
+    } else if (at
+               > std::max(received_at, m_limit_ended_at.load(std::memory_order_relaxed))) {
+        m_limit.set(std::max(report.per_s, kMinLimitPerS), now);
         m_limit_received_at.store(at, std::memory_order_relaxed);
     }
     return m_limit.per_s() != before;
@@ -136,9 +138,9 @@
     if (const double per_s = m_limit.per_s(); per_s > 0)
         return LimitWord {run, per_s,
                           now - m_limit_received_at.load(std::memory_order_relaxed)};
-    const Micros ended = m_limit_ended_at.load(std::memory_order_relaxed);
-    if (ended != 0 && now - ended < kEndReportTime)
-        return LimitWord {run, 0, now - ended};
+    const Micros ended_at = m_limit_ended_at.load(std::memory_order_relaxed);
+    if (ended_at != 0 && now - ended_at < kEndReportTime)
+        return LimitWord {run, 0, now - ended_at};
     return std::nullopt;
 }
 
@@ -151,27 +153,27 @@
 std::shared_ptr<SelfReport>
 SelfReports::of(const UpstreamRun& run)
 {
-    const auto it = m_known.try_emplace(key_of(run)).first;
-    Known& known = it->second;
-    if (!known.report) {
-        known.report = make_unregistered(UpstreamRunHash {}(run));
-        const bool has_before
-            = it != m_known.begin() && std::prev(it)->first.identity == it->first.identity;
-        if (has_before)
-            known.report->inherit(*std::prev(it)->second.report, run.born);
+    const auto it = m_entries.try_emplace(key_of(run)).first;
+    Entry& entry = it->second;
+    if (!entry.report) {
+        entry.report = make_unregistered(UpstreamRunHash {}(run));
+        const bool has_previous = it != m_entries.begin()
+            && std::prev(it)->first.identity == it->first.identity;
+        if (has_previous)
+            entry.report->inherit(*std::prev(it)->second.report, run.born);
     }
-    known.is_listed = true;
-    return known.report;
+    entry.is_listed = true;
+    return entry.report;
 }
 
 void
 SelfReports::unlist(const UpstreamRun& run)
 {
-    const auto it = m_known.find(key_of(run));
-    if (it == m_known.end())
+    const auto it = m_entries.find(key_of(run));
+    if (it == m_entries.end())
         return;
     if (mutated(Mutation::ForgetUnlisted)) {
-        m_known.erase(it);
+        m_entries.erase(it);
         return;
     }
     it->second.is_listed = false;
@@ -181,18 +183,18 @@
         evict_oldest();
 }
 
-/// One that was listed again meanwhile stays, and so does one that was unlisted once more
-/// since.
+/// Evicts the oldest unlisted run, unless it has been listed again meanwhile, or listed and
+/// unlisted once more.
 void
 SelfReports::evict_oldest()
 {
-    const auto it = m_known.find(m_unlisted.front());
+    const auto it = m_entries.find(m_unlisted.front());
     m_unlisted.pop_front();
-    if (it == m_known.end())
+    if (it == m_entries.end())
         return;
     const bool is_last = --it->second.unlisted == 0;
     if (is_last && !it->second.is_listed)
-        m_known.erase(it);
+        m_entries.erase(it);
 }
 
 } // namespace cypressford
