--- a/src/include/cypressford/shared_rate.h
+++ b/src/include/cypressford/shared_rate.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A rate of calls that all daemons share without asking each other at each call.
+/// A call rate that all daemons share without coordinating each call.
 
 #pragma once
 
@@ -15,96 +15,99 @@
 
 namespace cypressford {
 
-/// How many daemons share what there is.  Counts a daemon on for a while after it has gone:
-/// one that is only cut off goes on using its part.
+/// Number of daemons that share a rate.  A decrease takes effect after kRemovalDelay: a
+/// daemon that is only cut off continues to use its part.
 class SharerCount {
 public:
-    /// So many daemons are alive at `now`.  Called by one thread.
+    /// Sets the number of daemons that are alive at `now`.  Called by one thread.
     void set(int alive, Micros now);
     int get() const { return m_count.load(std::memory_order_relaxed); }
 
-    /// For so long a daemon that is gone is counted.
+    /// How long a daemon that is no longer alive is counted.
     static constexpr Micros kRemovalDelay = 10 * kSecond;
 
 private:
     std::atomic<int> m_count {1};
-    Micros m_fewer_since = 0; ///< 0: not fewer than counted
+    Micros m_fewer_since = 0; ///< 0: not fewer alive than counted
 };
 
-/// Whose part of a rate a call is taken from.
+/// The part of a rate that a call is taken from.
 enum class RatePart : unsigned char {
-    Own, ///< of this daemon, which asks nobody
-    Granted, ///< what the daemon that leads a set sends itself, or grants to any daemon
+    Own, ///< part of this daemon, used without a grant
+    Granted, ///< part of a set's leader, for its own calls and grants to any daemon
 };
 
-/// Calls of one part, one after the other at its rate.  Lock-free.
+/// Spaces the calls of one part at its rate.  Lock-free.
 class PartPacer {
 public:
     explicit PartPacer(std::uint64_t seed)
         : m_seed(seed)
     {
     }
-    /// The first call may go within one interval of `now`, at a point that the seed draws.
+    /// Allows the first call within one interval of `now`, at a point given by the seed.
     void begin(double interval_us, Micros now);
-    /// When the next call may go at the earliest.
+    /// Earliest time of the next call.
     Micros next_allowed_at(double interval_us) const;
-    /// Takes a call; false if none may go.
+    /// Takes a call; false if none is allowed.
     bool take(double interval_us, Micros now);
 
 private:
     Micros next_allowed_after(Micros last, double interval_us) const;
 
-    /// Far enough from any time that the longest interval has passed since.
+    /// Further in the past than the longest interval.
     static constexpr Micros kDistantPast = std::numeric_limits<Micros>::min() / 2;
 
     const std::uint64_t m_seed;
-    /// The last call, or a point of time in its place.  That the next call's time is worked
-    /// out from it, with the rate and the daemons of that moment, lets a rate that goes up
-    /// count at once.
+    /// Time of the last call, or a point of time in its place.  The time of the next call
+    /// is computed from it with the current rate and number of daemons, so that an
+    /// increased rate takes effect at once.
     std::atomic<Micros> m_last {kDistantPast};
 };
 
-/// What one daemon may send of a rate that all share.  Lock-free.
+/// One daemon's part of a rate that all daemons share.  Lock-free.
 ///
-/// Two ways share the rate.  The daemon that leads the set of an upstream sends, or grants
-/// to any daemon, up to half of it: while daemons disagree there are two such leaders, and
-/// they stay within it.  A daemon that asks nobody has an equal part of a quarter, or,
-/// where the set has no leader, of three quarters.  Each begins at a point of its interval
-/// that is its own, and intervals vary by a half, so that hundreds of daemons don't send at
-/// one time.
+/// The rate is shared along two paths.  The daemon that leads the set of an upstream sends,
+/// or grants to any daemon, up to half of it: while daemons disagree there may be two
+/// leaders, and both together stay within the rate.  Daemons that send without a grant have
+/// equal parts of a quarter, or, where the set has no leader, of three quarters.  Each
+/// starts at its own point of its interval, and intervals vary by a half, so that hundreds
+/// of daemons don't send at the same time.
 ///
 /// In any span of time all parts together stay within the rate times the span plus
-/// kBurstWindow, in the mean; where parts are less than a call in the span, they add up as
-/// independent calls do, and the bound for the sum must leave room for their spread.
+/// kBurstWindow, on average; parts of less than one call in the span add up like
+/// independent calls, so a bound on the sum must leave room for their variance.
 class SharedRate {
 public:
     explicit SharedRate(std::uint64_t seed = 0,
                         std::shared_ptr<const SharerCount> sharers = nullptr);
 
-    /// Requests a second of all daemons together, over 0.
+    /// Sets the requests per second of all daemons together; must be over 0.
     void set(double per_s, Micros now);
-    /// The rate of another, of which it isn't known whether it holds here: the first call
-    /// of each part goes at once, and its answer tells.
+    /// Takes over the rate of another run, which may not apply here: the first call of each
+    /// part is allowed at once, and its answer confirms the rate or not.
     void adopt(const SharedRate& other) { m_per_s.store(other.per_s()); }
-    /// There is no bound any more.
+    /// Removes the bound.
     void clear() { m_per_s.store(0, std::memory_order_relaxed); }
     bool is_set() const { return per_s() > 0; }
-    /// 0: not bound.
+    /// 0: unlimited.
     double per_s() const { return m_per_s.load(std::memory_order_relaxed); }
     /// Whether the set of the upstream has a leader.
-    void set_has_leader(bool led) { m_has_leader.store(led, std::memory_order_relaxed); }
+    void set_has_leader(bool has_leader)
+    {
+        m_has_leader.store(has_leader, std::memory_order_relaxed);
+    }
 
-    /// Calls a second of that part, of this daemon.  Only while it is set.
+    /// Calls per second of that part of this daemon.  Only valid while a rate is set.
     double rate_of(RatePart part) const;
-    /// Calls a second that this daemon may expect to send, with those that the leader of
-    /// the set grants it.
+    /// Calls per second that this daemon can expect to send, including those that the
+    /// leader of the set grants it.
     double expected_rate() const;
-    /// When the next call of that part may go; 0 if it isn't set.
+    /// Earliest time of the next call of that part; 0 if no rate is set.
     Micros next_allowed_at(RatePart part) const;
-    /// Counts a call; false if none may go.  Always true while it isn't set.
+    /// Counts a call; false if none is allowed.  Always true while no rate is set.
     bool take(RatePart part, Micros now);
 
-    /// A part that was not used for a while may send what it left of so much time at once.
+    /// A part may send at once the calls that it left unused in this time.
     static constexpr Micros kBurstWindow = 250 * kMillisecond;
 
 private:
--- a/src/libcypressford/shared_rate.cpp
+++ b/src/libcypressford/shared_rate.cpp
@@ -14,13 +14,13 @@
 
 namespace {
 
-/// Parts of the rate: of one leader, of whom there may be two; of all daemons that ask
-/// nobody beside a leader; and of these where there is none.
+/// Parts of the rate: of one leader, of which there may be two; of all daemons that send
+/// without a grant beside a leader; and of these where there is no leader.
 constexpr double kGrantedPart = 0.5;
 constexpr double kOwnPart = 0.25;
 constexpr double kOwnPartWithoutLeader = 0.75;
-/// Intervals between calls are this part of the mean one at least, and as much over 1 at
-/// most.
+/// Intervals between calls vary from kShortestInterval to 1 + kShortestInterval times the
+/// mean interval.
 constexpr double kShortestInterval = 0.5;
 
 } // namespace
@@ -64,10 +64,10 @@
 {
     Micros last = m_last.load(std::memory_order_relaxed);
     for (;;) {
-        const Micros opens = next_allowed_after(last, interval_us);
-        if (opens > now)
+        const Micros next_allowed = next_allowed_after(last, interval_us);
+        if (next_allowed > now)
             return false;
-        const Micros taken = std::max(opens, now - SharedRate::kBurstWindow);
+        const Micros taken = std::max(next_allowed, now - SharedRate::kBurstWindow);
         if (m_last.compare_exchange_weak(last, taken, std::memory_order_relaxed))
             return true;
     }
@@ -111,8 +111,8 @@
 double
 SharedRate::expected_rate() const
 {
-    const bool led = m_has_leader.load(std::memory_order_relaxed);
-    const double granted = led ? rate_of(RatePart::Granted) / sharers() : 0;
+    const bool has_leader = m_has_leader.load(std::memory_order_relaxed);
+    const double granted = has_leader ? rate_of(RatePart::Granted) / sharers() : 0;
     return rate_of(RatePart::Own) + granted;
 }
 
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -2,14 +2,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A rate that all daemons share, and the limits that upstreams name.
+/// A rate that all daemons share, and the rate limits that upstreams announce.
 ///
-/// What users saw: a replica that had named a limit of one request a second got 14 in 4 s
-/// from daemons that had passed on its answers; 11 are allowed.  Order: its answers began
-/// to name the limit; the leader of the set went on placing prompts there, and daemons sent
-/// them.  Cause: no sender read the limit, and nothing that a daemon kept of an upstream
-/// counted calls over all daemons.  Evidence: answers name it in the log, and the same
-/// daemons' next calls went there, as many a second as before.
+/// Guards against an upstream that announced a limit of one request a second and got 14 in
+/// 4 s, where 11 are allowed, from daemons that had passed on its answers: the leader of
+/// the set continued to place prompts there because no sender applied the limit and no
+/// daemon counted calls across all daemons.
 
 #include <doctest/doctest.h>
 
@@ -29,8 +27,8 @@
 namespace cypressford {
 namespace {
 
-/// What the platform allows of a limit of N requests a second, in any span of this length:
-/// 1.5 N times the span, and 5 more.
+/// For a limit of N requests a second the platform allows, in any span of this length, 1.5
+/// N times the span plus 5.
 constexpr Micros kSpan = 4 * kSecond;
 
 double
@@ -39,15 +37,15 @@
     return 1.5 * per_s * (static_cast<double>(kSpan) / kSecond) + 5;
 }
 
-/// Daemons that share one rate, each with its own view of it.
+/// Daemons that share one rate, each with its own state.
 class Sharers {
 public:
-    Sharers(int daemons, double per_s, bool led)
+    Sharers(int daemons, double per_s, bool has_leader)
     {
         m_count->set(daemons, 0);
         for (int daemon = 0; daemon < daemons; ++daemon) {
             m_rates.push_back(std::make_unique<SharedRate>(77 + daemon, m_count));
-            m_rates.back()->set_has_leader(led);
+            m_rates.back()->set_has_leader(has_leader);
             m_rates.back()->set(per_s, 0);
         }
     }
@@ -60,9 +58,9 @@
     std::vector<std::unique_ptr<SharedRate>> m_rates;
 };
 
-/// Every daemon has a call for the upstream at each step.
+/// Every daemon has calls for the upstream at each step.
 std::vector<Micros>
-play(Sharers& sharers, Micros end, int leaders)
+simulate(Sharers& sharers, Micros end, int leaders)
 {
     constexpr Micros step = 10 * kMillisecond;
     std::vector<Micros> sent;
@@ -77,28 +75,28 @@
     return sent;
 }
 
-TEST_CASE("all daemons together stay within what a limit allows, from the first second on")
+TEST_CASE("all daemons together stay within a limit from the first second on")
 {
-    constexpr int lasts_s = 30;
+    constexpr int duration_s = 30;
     for (const int daemons : {1, 3, 9, 30, 100, 300, 710})
         for (const double per_s : {0.2, 1.0, 10.0, 1000.0})
             for (const int leaders : {0, 1, 2}) {
                 Sharers sharers(daemons, per_s, leaders > 0);
-                const auto sent = play(sharers, lasts_s * kSecond, leaders);
+                const auto sent = simulate(sharers, duration_s * kSecond, leaders);
                 const double all = static_cast<double>(sent.size());
-                const double used = all / (per_s * lasts_s);
+                const double used = all / (per_s * duration_s);
                 INFO("daemons ", daemons, ", limit ", per_s, ", leaders ", leaders);
                 CHECK(static_cast<double>(most_within(sent, kSpan)) <= allowed(per_s));
-                CHECK(all <= 1.5 * per_s * lasts_s + 5);
+                CHECK(all <= 1.5 * per_s * duration_s + 5);
                 if (per_s >= 10)
                     CHECK(used >= 0.7);
             }
 }
 
-TEST_CASE("a limit that goes up is used at once, one that goes down binds at once")
+TEST_CASE("raised and lowered limits both take effect at once")
 {
     Sharers sharers(9, 1, false);
-    play(sharers, 10 * kSecond, 0);
+    simulate(sharers, 10 * kSecond, 0);
     SharedRate& rate = sharers.of(3);
     rate.set(900, 10 * kSecond);
     CHECK(rate.next_allowed_at(RatePart::Own) <= 10 * kSecond + 20 * kMillisecond);
@@ -110,7 +108,7 @@
     CHECK(rate.next_allowed_at(RatePart::Own) == 0);
 }
 
-TEST_CASE("a daemon that is gone is counted for a while")
+TEST_CASE("a daemon that is no longer alive is counted for a while")
 {
     SharerCount count;
     count.set(8, 0);
@@ -123,14 +121,15 @@
     CHECK(count.get() == 4);
 }
 
-// ------------------------------------------------------------- what an upstream says
+// ------------------------------------------------------------- limits that upstreams
+// announce
 
 TEST_CASE("a limit holds until a call that was sent after it finds none")
 {
     SelfReport said;
     CHECK(said.record_limit(5.0, 1, 100));
     CHECK(said.limit().per_s() == 5);
-    // The answer to a call that was sent before overtook it.
+    // The answer to a call that was sent earlier arrives later.
     CHECK_FALSE(said.record_limit({}, 99, 200));
     CHECK(said.limit().is_set());
     CHECK_FALSE(said.record_limit(7.0, 99, 201));
@@ -141,7 +140,8 @@
     CHECK_FALSE(said.limit().is_set());
 }
 
-TEST_CASE("a limit of nothing leaves calls that learn of its end, an absurd one is none")
+TEST_CASE(
+    "a limit of zero still allows calls that find its end; an excessive one is ignored")
 {
     SelfReport said;
     said.record_limit(0.0, 1, 2);
@@ -167,7 +167,7 @@
     CHECK(static_cast<double>(most_within(sent, kSpan)) <= allowed(1));
 }
 
-TEST_CASE("words of limits travel, and an older one undoes no later one")
+TEST_CASE("limit reports are passed on, and an older report does not undo a later one")
 {
     const UpstreamRun run {"i1", 7};
     SelfReport leader;
@@ -175,54 +175,54 @@
     daemon.record_limit(3.0, 1, kSecond);
     CHECK(leader.apply_limit_report(*daemon.word(run, kSecond), kSecond));
     CHECK(leader.limit().per_s() == 3);
-    // Another daemon finds that it has ended.
+    // Another daemon finds that the limit has ended.
     SelfReport other;
     other.record_limit(3.0, 1, kSecond);
     other.record_limit({}, 2 * kSecond, 2 * kSecond + 1);
     CHECK(leader.apply_limit_report(*other.word(run, 3 * kSecond), 3 * kSecond));
     CHECK_FALSE(leader.limit().is_set());
-    // The first one has heard nothing since.
+    // The first daemon has received nothing since.
     CHECK_FALSE(leader.apply_limit_report(*daemon.word(run, 4 * kSecond), 4 * kSecond));
     CHECK(daemon.apply_limit_report(*leader.word(run, 4 * kSecond), 4 * kSecond));
     CHECK_FALSE(daemon.limit().is_set());
     CHECK_FALSE(leader.word(run, 4 * kSecond + SelfReport::kEndReportTime));
-    // It names one again.
+    // The upstream announces a limit again.
     other.record_limit(2.0, 5 * kSecond, 5 * kSecond);
     CHECK(leader.apply_limit_report(*other.word(run, 5 * kSecond), 5 * kSecond));
     CHECK(leader.limit().per_s() == 2);
 }
 
-TEST_CASE("a limit ends with its run, unless the next one may have named it")
+TEST_CASE("a limit ends with its run, unless the next run may have announced it")
 {
     constexpr std::int64_t born = 1'000'000;
-    for (const std::int64_t heard : {born + 50, born - 60'000}) {
+    for (const std::int64_t connected : {born + 50, born - 60'000}) {
         SelfReports reports;
-        reports.of({"i1", born - 90'000})->record_limit(1.0, 0, 1, heard);
+        reports.of({"i1", born - 90'000})->record_limit(1.0, 0, 1, connected);
         SharedRate& limit = reports.of({"i1", born})->limit();
-        CHECK(limit.is_set() == (heard > born));
+        CHECK(limit.is_set() == (connected > born));
         CHECK(limit.take(RatePart::Own, kSecond));
-        CHECK(limit.take(RatePart::Own, kSecond) == (heard < born));
+        CHECK(limit.take(RatePart::Own, kSecond) == (connected < born));
     }
 }
 
 // ------------------------------------------------------------- senders
 
-TEST_CASE("each call is counted where it is sent, whoever chose the upstream")
+TEST_CASE("each call is counted where it is sent, whichever daemon chose the upstream")
 {
     Fleet fleet;
     UpstreamState& ia = *fleet.ia;
     ia.said->record_limit(1.0, 0, 1);
-    const Micros opens = ia.said->limit().next_allowed_at(RatePart::Own);
-    CHECK_FALSE(begin_call(ia, CallCount::Own, opens - 1));
-    CHECK(begin_call(ia, CallCount::Own, opens));
-    CHECK_FALSE(begin_call(ia, CallCount::Own, opens));
-    // The leader counted it when it granted it.
-    CHECK(begin_call(ia, CallCount::Counted, opens));
+    const Micros next_allowed = ia.said->limit().next_allowed_at(RatePart::Own);
+    CHECK_FALSE(begin_call(ia, CallCount::Own, next_allowed - 1));
+    CHECK(begin_call(ia, CallCount::Own, next_allowed));
+    CHECK_FALSE(begin_call(ia, CallCount::Own, next_allowed));
+    // The leader counted the call when it granted it.
+    CHECK(begin_call(ia, CallCount::Counted, next_allowed));
     ia.said->record_leaving();
-    CHECK_FALSE(begin_call(ia, CallCount::Counted, opens));
+    CHECK_FALSE(begin_call(ia, CallCount::Counted, next_allowed));
 }
 
-TEST_CASE("others take what a limited upstream can't")
+TEST_CASE("requests beyond an upstream's limit go to other upstreams")
 {
     Fleet fleet;
     fleet.ia->said->record_limit(1.0, 0, 1);
@@ -240,12 +240,11 @@
     CHECK(at_limited <= 5);
 }
 
-/// What was seen: of 700 callers of three replicas that all name a limit, one was refused
-/// after 1.4 s.  Order: it was admitted, since its place was expected within its aim;
-/// places came later than that; the next one was due shortly after its aim, and it was
-/// refused. Cause: a request in the queue was judged by its aim, like one at the door.
-/// Evidence: the refusal says `resting`, and the next call went out 0.6 s after.
-TEST_CASE("a request that has waited for a place keeps it though it comes late")
+/// Guards against refusing a request in the queue, 1.4 s after it was admitted, because
+/// calls to limited upstreams became free later than expected and the next one was due
+/// shortly after its target latency.  Only a new request is judged by its target latency; a
+/// queued one keeps its place.
+TEST_CASE("a queued request keeps its place though the place comes later than expected")
 {
     FleetSpec spec;
     spec.target_latency = 2 * kSecond;
@@ -255,14 +254,14 @@
     fleet.now = 2;
     REQUIRE(fleet.arrive() == nullptr);
     REQUIRE_FALSE(fleet.find<Reply>());
-    // Its place comes later than it was counted on.
+    // Its place comes later than expected.
     fleet.ia->said->record_limit(0.2, 3, 4);
-    const Micros opens = fleet.ia->said->limit().next_allowed_at(RatePart::Own);
-    REQUIRE(opens > spec.target_latency);
-    fleet.now = opens - 100 * kMillisecond;
+    const Micros next_allowed = fleet.ia->said->limit().next_allowed_at(RatePart::Own);
+    REQUIRE(next_allowed > spec.target_latency);
+    fleet.now = next_allowed - 100 * kMillisecond;
     fleet.handle(Tick {});
     CHECK_FALSE(fleet.find<Reply>());
-    // Who comes now is told at once.
+    // A new request is refused at once.
     CHECK(fleet.arrive() == nullptr);
     CHECK(fleet.find<Reply>());
     for (; fleet.now < 10 * kSecond && !fleet.find<SendAttempt>();
@@ -272,7 +271,7 @@
     CHECK(fleet.find<SendAttempt>()->upstream == fleet.ia);
 }
 
-TEST_CASE("a prompt goes to a limited engine when its leader grants it")
+TEST_CASE("a prompt goes to a limited engine when the leader grants it")
 {
     Fleet fleet;
     const UpstreamSet& set = fleet.snapshot->sets[0];
@@ -293,7 +292,7 @@
     CHECK(placed.size() <= 23);
 }
 
-TEST_CASE("pieces keep to a limit, and the wait tells of it")
+TEST_CASE("pieces stay within a limit, and the expected wait reflects it")
 {
     Fleet fleet;
     UpstreamSet set = fleet.snapshot->sets[0];
