--- a/src/include/cypressford/cold.h
+++ b/src/include/cypressford/cold.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Cold upstreams: one that has just started bears few requests a second and breaks down
-/// under more, whoever sends them.  All daemons together stay within its rate, without
-/// asking each other.
+/// Cold upstreams: a newly started upstream handles only a low request rate, and fails if
+/// all senders together exceed it.  All daemons together stay within its rate, without
+/// coordinating each call.
 
 #pragma once
 
@@ -15,59 +15,61 @@
 
 namespace cypressford {
 
-/// Spaces calls to one upstream.  Lock-free; several threads may take at once.
+/// Enforces intervals between calls to one upstream.  Lock-free; several threads may take
+/// calls at once.
 class CallPacer {
 public:
-    /// True if a call may go at `now`, and at `first` at the earliest.
+    /// True if a call is allowed at `now`; no call is allowed before `first`.
     bool is_open(Micros first, Micros now) const
     {
         return now >= first && now >= m_next.load(std::memory_order_relaxed);
     }
-    /// Takes the call; the next one may go after `interval`.  False if it may not go.
+    /// Takes a call and allows the next one after `interval`.  False if none is allowed.
     bool take(Micros first, Micros interval, Micros now);
 
 private:
     std::atomic<Micros> m_next {0};
 };
 
-/// How cold one upstream is, and which calls this daemon may send it.
+/// Whether one upstream is cold, and which calls this daemon may send to it.
 ///
-/// Two ways share the rate.  The daemon that leads the upstream's set grants calls to all
-/// daemons, up to half of the rate: two leaders that don't know of each other stay within
-/// it.  A daemon that chooses by itself, because its set has no leader or the leader is
-/// silent, has an equal part of a quarter of it.  Where there are many daemons, that part
-/// is less than a call in all the time that an upstream is cold, so each daemon starts at
-/// a point of its interval that is its own.  Of the ways tried in cold_test, for 295
-/// daemons and 9 requests/s, this one lets calls through without passing the bound.
+/// The rate is shared along two paths.  The daemon that leads the upstream's set grants
+/// calls to all daemons, up to half of the rate, so that two leaders that are unaware of
+/// each other stay within it.  Daemons that choose on their own, because their set has no
+/// leader or the leader is unresponsive, have equal parts of a quarter of it.  With many
+/// daemons such a part is less than one call in the whole cold period, so each daemon
+/// starts at its own point of its interval.  Of the schemes that cold_test compares, for
+/// 295 daemons and 9 requests/s, only this one lets calls through without exceeding the
+/// bound.
 class ColdState {
 public:
-    /// `seed`: drawn by this daemon, so that daemons start at different points.
+    /// `seed`: random, one per daemon, so that daemons start at different points.
     explicit ColdState(std::uint64_t seed)
         : m_seed(seed)
     {
     }
 
-    /// What the upstream's set says: cold for so long from a start, and bearing so many
-    /// requests a second then; a rate of 0 knows no bound.
+    /// Applies the set's settings: the cold period after a start, and the requests per
+    /// second that are allowed during it; a rate of 0 means no bound.
     void set_spec(const ColdSpec& spec);
 
-    /// It is cold until then, at least.
+    /// The upstream is cold at least until `until`.
     void note(Micros until);
-    /// It may have turned cold just now.
+    /// The upstream may have started just now, so a cold period is assumed.
     void assume_cold(Micros now);
 
-    /// True while it bears its rate only.
+    /// True while its rate is bounded.
     bool is_cold(Micros now) const;
 
-    /// Calls that this daemon, as the leader of the set, lets any daemon send.
+    /// Calls that this daemon, as the leader of the set, grants to any daemon.
     bool may_grant(Micros now) const;
     bool take_grant(Micros now);
 
-    /// Calls that this daemon, one of so many, sends without asking.
+    /// Calls that this daemon, one of `daemons`, sends without a grant.
     bool may_send(int daemons, Micros now) const;
     bool take_send(int daemons, Micros now);
 
-    /// Calls a second that this daemon may send without asking.
+    /// Calls per second that this daemon may send without a grant.
     double own_rate(int daemons) const;
 
 private:
@@ -76,7 +78,7 @@
 
     const std::uint64_t m_seed;
     std::atomic<Micros> m_until {0};
-    std::atomic<Micros> m_time {0}; ///< from a start
+    std::atomic<Micros> m_time {0}; ///< cold period after a start
     std::atomic<double> m_per_s {0};
     CallPacer m_grants;
     CallPacer m_sends;
--- a/src/include/cypressford/latency.h
+++ b/src/include/cypressford/latency.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Learned service times per stage, which deadlines are planned from.
+/// Learned service times per stage, used to plan for deadlines.
 
 #pragma once
 
@@ -13,12 +13,12 @@
 
 namespace cypressford {
 
-/// Service times of stages, as histograms that age out.
+/// Histograms of the service times of stages; old samples expire.
 class LatencyModel {
 public:
-    /// How long a sample counts: between one and two of these.
+    /// A sample counts for between one and two generations.
     static constexpr Micros kGeneration = 15 * kSecond;
-    /// Fewer samples than this are no ground for a quantile.
+    /// Minimum number of samples for quantiles and mean.
     static constexpr int kMinSamples = 8;
 
     LatencyModel();
@@ -28,7 +28,7 @@
 
     void record(StageId stage, Micros service_time, Micros now);
 
-    /// Quantiles, or nothing while there are too few samples.
+    /// Nothing while there are fewer than kMinSamples.
     std::optional<Micros> p50(StageId stage) const;
     std::optional<Micros> p95(StageId stage) const;
     std::optional<Micros> mean(StageId stage) const;
--- a/src/libcypressford/cold.cpp
+++ b/src/libcypressford/cold.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// Parts of a cold upstream's rate: of one leader, of whom there may be two while daemons
-/// disagree, and of all daemons that choose by themselves.  The second is spread by chance
-/// and left small for that.
+/// Parts of a cold upstream's rate: of one leader, of which there may be two while daemons
+/// disagree, and of all daemons that send without a grant.  The second part is kept small
+/// because its calls are randomly distributed in time.
 constexpr double kGrantedPart = 0.5;
 constexpr double kUngrantedPart = 0.25;
-/// Keeps intervals finite.
+/// Keeps intervals finite; calls per second.
 constexpr double kMinRate = 1e-6;
 
 Micros
@@ -89,7 +89,7 @@
     return kUngrantedPart * rate() / sharers;
 }
 
-/// A point of the interval that begins when the upstream turns cold.
+/// A point within the interval that starts when the upstream turns cold.
 Micros
 ColdState::first_send(int daemons) const
 {
--- a/src/libcypressford/cold_test.cpp
+++ b/src/libcypressford/cold_test.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Cold upstreams: what all daemons together send them.
+/// Cold upstreams: the calls that all daemons together send to them.
 
 #include <doctest/doctest.h>
 
@@ -23,12 +23,12 @@
 constexpr double kRate = 9;
 constexpr Micros kColdTime = 3 * kSecond;
 constexpr ColdSpec kCold {kColdTime, kRate};
-/// What a cold upstream stands in any one second before it breaks down.
+/// Calls that a cold upstream withstands in any one second before it fails.
 constexpr std::size_t kBound = 18;
 
-/// Daemons that each have a request for the upstream every 50 ms, in turn.
+/// Each daemon in turn has a request for the upstream every 50 ms.
 std::vector<Micros>
-play(int daemons, Micros end, const std::function<bool(int, Micros)>& may)
+simulate(int daemons, Micros end, const std::function<bool(int, Micros)>& may)
 {
     constexpr Micros pace = 50 * kMillisecond;
     std::vector<Micros> sent;
@@ -53,11 +53,11 @@
     return states;
 }
 
-TEST_CASE("one leader grants half of the rate, two leaders stay within it")
+TEST_CASE("one leader grants half of the rate, and two leaders stay within the rate")
 {
     for (const int leaders : {1, 2}) {
         const auto states = cold_states(leaders);
-        const auto sent = play(295, kColdTime, [&](int daemon, Micros now) {
+        const auto sent = simulate(295, kColdTime, [&](int daemon, Micros now) {
             return states[static_cast<std::size_t>(daemon % leaders)]->take_grant(now);
         });
         CHECK(sent.size() >= 12 * static_cast<std::size_t>(leaders));
@@ -65,40 +65,41 @@
     }
 }
 
-TEST_CASE("295 daemons that choose by themselves neither starve a cold upstream nor "
-          "pass its bound")
+TEST_CASE("295 daemons without a leader neither starve a cold upstream nor "
+          "exceed its bound")
 {
     constexpr int daemons = 295;
     const auto states = cold_states(daemons);
-    const auto parts = play(daemons, kColdTime, [&](int daemon, Micros now) {
+    const auto parts = simulate(daemons, kColdTime, [&](int daemon, Micros now) {
         return states[static_cast<std::size_t>(daemon)]->take_send(daemons, now);
     });
-    // The same, but every daemon may begin at once.
+    // The same, but every daemon may start at once.
     std::vector<CallPacer> at_once(daemons);
-    const auto bursts = play(daemons, kColdTime, [&](int daemon, Micros now) {
+    const auto bursts = simulate(daemons, kColdTime, [&](int daemon, Micros now) {
         const auto interval = static_cast<Micros>(daemons * kSecond / (0.25 * kRate));
         return at_once[static_cast<std::size_t>(daemon)].take(0, interval, now);
     });
-    // Two daemons chosen by hashing have it all; five more were cut off, and each of them
-    // takes itself for one of the two.
+    // Two daemons selected by hashing have the whole rate; five more are cut off, and each
+    // of them assumes that it is one of the two.
     std::vector<CallPacer> few(daemons);
-    const auto chosen = play(daemons, kColdTime, [&](int daemon, Micros now) {
+    const auto chosen = simulate(daemons, kColdTime, [&](int daemon, Micros now) {
         const auto interval = static_cast<Micros>(2 * kSecond / kRate);
         return daemon < 7 && few[static_cast<std::size_t>(daemon)].take(0, interval, now);
     });
-    MESSAGE("calls to a cold upstream of 9 requests/s in 3 s, most in a second: own parts ",
-            parts.size(), ", ", most_within(parts, kSecond), "; all begin at once ",
-            bursts.size(), ", ", most_within(bursts, kSecond),
-            "; two chosen daemons and five "
-            "cut off ",
-            chosen.size(), ", ", most_within(chosen, kSecond));
+    MESSAGE(
+        "calls in 3 s to a cold upstream of 9 requests/s, maximum per second: own parts ",
+        parts.size(), ", ", most_within(parts, kSecond), "; all start at once ",
+        bursts.size(), ", ", most_within(bursts, kSecond),
+        "; two selected daemons and five "
+        "cut off ",
+        chosen.size(), ", ", most_within(chosen, kSecond));
     CHECK(parts.size() >= 3);
     CHECK(most_within(parts, kSecond) <= kBound / 2);
     CHECK(most_within(bursts, kSecond) > kBound);
     CHECK(most_within(chosen, kSecond) > kBound);
 }
 
-TEST_CASE("without a rate, or when its time is over, an upstream is not cold")
+TEST_CASE("without a rate, or after its cold period, an upstream is not cold")
 {
     ColdState state(7);
     state.note(kSecond);
@@ -108,7 +109,7 @@
     CHECK_FALSE(state.is_cold(kSecond));
     state.assume_cold(2 * kSecond);
     CHECK(state.is_cold(4 * kSecond));
-    // An earlier end does not shorten it.
+    // An earlier end does not shorten the cold period.
     state.note(3 * kSecond);
     CHECK(state.is_cold(4 * kSecond));
 }
@@ -127,7 +128,7 @@
     return set;
 }
 
-TEST_CASE("the leader places prompts at a cold engine at the rate that it bears")
+TEST_CASE("the leader places prompts at a cold engine within its cold rate")
 {
     auto warm = std::make_shared<UpstreamState>("10.0.0.1:1", "a", "warm");
     auto cold = std::make_shared<UpstreamState>("10.0.0.2:1", "a", "cold");
@@ -158,7 +159,7 @@
     CHECK(most_within(at_cold, kSecond) <= kBound / 2);
 }
 
-TEST_CASE("pieces go to warm upstreams first, and to cold ones at their rate")
+TEST_CASE("pieces go to warm upstreams first, and to cold upstreams within their rate")
 {
     auto warm = std::make_shared<UpstreamState>("10.0.0.1:1", "a", "warm");
     auto cold = std::make_shared<UpstreamState>("10.0.0.2:1", "a", "cold");
@@ -203,12 +204,12 @@
     return result;
 }
 
-TEST_CASE("records tell that an upstream is cold, and are news when it turns cold again")
+TEST_CASE("records report a cold upstream, and count as a change when it turns cold again")
 {
     DirectoryFold fold(0);
     CHECK(fold.apply(record(1, 3 * kSecond), 0));
     CHECK(fold.members().front().cold_until == 3 * kSecond);
-    // The same start, told once more and read a little later.
+    // The same start, reported again and read a little later.
     CHECK_FALSE(fold.apply(record(2, 1800 * kMillisecond), 1900 * kMillisecond));
     CHECK_FALSE(fold.apply(record(3, 0), 3 * kSecond));
     CHECK(fold.members().front().cold_until == 3 * kSecond);
@@ -216,7 +217,7 @@
     CHECK(fold.members().front().cold_until == 23 * kSecond);
 }
 
-TEST_CASE("requests go to warm upstreams of other halls while the own hall is cold")
+TEST_CASE("requests go to warm upstreams of other halls while the local hall is cold")
 {
     Fleet fleet({kCold, {}, {}, 2});
     fleet.ia->cold.note(kColdTime);
@@ -226,7 +227,7 @@
     CHECK(fleet.arrive() == fleet.ia.get());
 }
 
-TEST_CASE("with cold upstreams only, a daemon sends its part and no more")
+TEST_CASE("with cold upstreams only, a daemon sends no more than its part")
 {
     Fleet fleet({kCold, {}, {}, 1});
     fleet.ia->cold.note(kColdTime);
@@ -237,7 +238,7 @@
     CHECK(sent <= 1);
 }
 
-TEST_CASE("a hall that comes back from an evacuation comes back cold")
+TEST_CASE("upstreams of a hall are cold after its evacuation ends")
 {
     Fleet fleet({kCold, {}, {}, 2});
     fleet.table.set_evacuated({"a"}, 0);
@@ -249,7 +250,7 @@
     CHECK(fleet.arrive() == fleet.ib.get());
 }
 
-TEST_CASE("a daemon whose own hall has no upstream in service runs more than one call")
+TEST_CASE("a daemon whose own hall has no upstream in service sends more than one call")
 {
     Fleet fleet({kCold, {}, {}, 1});
     fleet.table.set_evacuated({"a"}, 0);
--- a/src/libcypressford/latency.cpp
+++ b/src/libcypressford/latency.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-// 72 logarithmic bins from 50 µs to 200 s: about 23% wide each.
+// 72 logarithmic bins from 50 µs to 200 s, each about 23% wide.
 constexpr unsigned kBins = 72;
 constexpr double kLowest = 50;
 constexpr double kHighest = 200e6;
-// Quantiles are worked out anew after this many samples, not at each reading.
+// Quantiles are recomputed after this many samples, not on every read.
 constexpr int kRefreshEvery = 16;
 
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
