--- a/src/include/cypressford/reach_table.h
+++ b/src/include/cypressford/reach_table.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which upstreams of a set are not to be had just now, by what the daemons that tried
-/// them tell the one that leads the set.
+/// Which upstreams of a set are unreachable, as reported by daemons to the leader of the
+/// set.
 
 #pragma once
 
@@ -19,37 +19,38 @@
 
 /// A circuit breaker for each upstream, and one for each pair of halls.
 ///
-/// Answers the load of a large fleet while a hall is cut off or part of the upstreams goes
-/// dark: each daemon sends an upstream a request in minutes, so that alone it never learns,
-/// and every request that is placed there costs a failed connection (250 ms) first.  What
-/// is believed here costs time only: an upstream that is avoided by mistake is tried again
-/// after kRetryInterval, and its first answer clears it.
+/// Handles the load of a large fleet while a hall is cut off or part of the upstreams fail:
+/// each daemon sends a given upstream a request only every few minutes, so that alone it
+/// never detects the failure, and every request placed there first costs a failed
+/// connection (250 ms).  An entry can only cost time: an upstream that is avoided by
+/// mistake is retried after kRetryInterval, and its first answer clears the entry.
 class ReachTable {
 public:
-    /// Upstreams of one hall that fail for the daemons of another, without an answer in
-    /// between, after which that hall is taken for cut off: one or two may have died.
+    /// After this many different upstreams of a hall have failed for the daemons of another
+    /// hall without an answer in between, the hall is assumed to be cut off.  One or two
+    /// failures may be failed upstreams.
     static constexpr std::size_t kHallFailureThreshold = 3;
-    /// Between two requests that try what is avoided: two connections' time-outs.
+    /// Between two trial requests to an avoided upstream or hall: two connection time-outs.
     static constexpr Micros kRetryInterval = 500 * kMillisecond;
 
-    /// A request from a daemon of hall `from` could not be given to the upstream, or it
-    /// showed no sign of it.
+    /// A request from a daemon of hall `from` could not be delivered to the upstream, or
+    /// the upstream did not acknowledge it.
     void record_unreachable(const std::string& from, const UpstreamRun& run,
                             const std::string& hall, Micros now);
-    /// The upstream began to answer a request from a daemon of hall `from`.
+    /// The upstream started to answer a request from a daemon of hall `from`.
     void record_answer(const std::string& from, const UpstreamRun& run,
                        const std::string& hall);
-    /// A request from a daemon of hall `from` is sent to the upstream.
+    /// A request from a daemon of hall `from` is being sent to the upstream.
     void record_sent(const std::string& from, const UpstreamRun& run,
                      const std::string& hall, Micros now);
 
-    /// True if a request from a daemon of hall `from` had better go elsewhere.
+    /// True if a request from a daemon of hall `from` should go to another upstream.
     bool should_avoid(const std::string& from, const UpstreamRun& run,
                       const std::string& hall, Micros now) const;
 
 private:
-    /// From which hall to which.
-    using Way = std::pair<std::string, std::string>;
+    /// Hall of the daemon, hall of the upstream.
+    using HallPair = std::pair<std::string, std::string>;
     struct FailedRoute {
         std::set<UpstreamRun> failed; ///< since the last answer
         Micros retry_at = 0;
@@ -58,8 +59,8 @@
     };
 
     std::unordered_map<UpstreamRun, Micros, UpstreamRunHash>
-        m_try_at; ///< of those that failed
-    std::map<Way, FailedRoute> m_failed_routes;
+        m_retry_at; ///< only of upstreams that failed
+    std::map<HallPair, FailedRoute> m_failed_routes;
 };
 
 } // namespace cypressford
--- a/src/include/cypressford/silence.h
+++ b/src/include/cypressford/silence.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// When a daemon that is asked for signs of life is taken for silent.
+/// Detects that a daemon no longer answers keepalive requests.
 
 #pragma once
 
@@ -13,39 +13,41 @@
 
 namespace cypressford {
 
-/// Signs of life of one daemon, as another one asks for them while an order waits there.
+/// Watches the keepalives of one daemon, requested by another one while its order waits
+/// there.
 class UnresponsiveDetector {
 public:
-    /// `daemons`: that may all ask the same one.
+    /// `daemons`: number of daemons that may all send requests to the same one.
     explicit UnresponsiveDetector(int daemons)
-        : m_pace(std::clamp(daemons * kIntervalPerDaemon, kShortestPace, kMaxInterval))
+        : m_interval(std::clamp(daemons * kIntervalPerDaemon, kMinInterval, kMaxInterval))
     {
     }
 
-    /// How long to wait before the next sign is asked for; nothing: it is silent.
+    /// Delay before the next keepalive request; nothing: the daemon is unresponsive.
     std::optional<Micros> next_interval(bool answered)
     {
         m_misses = answered ? 0 : m_misses + 1;
         if (m_misses > kMissesAllowed)
             return std::nullopt;
-        // A doubt is settled at once: that a leader is lost is found out after 0.45 s in
-        // the mean, and after 0.70 s with a pause of 200 ms here (silence_test).  Answers
-        // are due within 1.0 to 1.6 s; in the two seconds after a hall is cut off callers
-        // of 89 daemons got 0.78 of their worth instead of 0.73.
-        return m_misses > 0 ? 0 : m_pace;
+        // After a missed keepalive the next request follows at once: the loss of a leader
+        // is then detected after 0.45 s on average, and after 0.70 s with a delay of 200 ms
+        // here (silence_test).  Answers are due within 1.0 to 1.6 s; in the two seconds
+        // after a hall is cut off, callers of 89 daemons got 0.78 of their value instead of
+        // 0.73.
+        return m_misses > 0 ? 0 : m_interval;
     }
-    /// Before the first sign.
-    Micros first_interval() const { return m_pace; }
+    /// Delay before the first keepalive request.
+    Micros first_interval() const { return m_interval; }
 
 private:
-    /// One leader is asked by all daemons: some 1,400 signs a second at most.
+    /// All daemons send requests to one leader: at most about 1,400 keepalives a second.
     static constexpr Micros kIntervalPerDaemon = 700;
-    static constexpr Micros kShortestPace = 100 * kMillisecond;
+    static constexpr Micros kMinInterval = 100 * kMillisecond;
     static constexpr Micros kMaxInterval = 200 * kMillisecond;
-    /// Signs that may be missed in a row: one packet may be lost.
+    /// Consecutive keepalives that may be missed: one packet may be lost.
     static constexpr int kMissesAllowed = 1;
 
-    Micros m_pace;
+    Micros m_interval;
     int m_misses = 0;
 };
 
--- a/src/include/cypressford/unreachable_peers.h
+++ b/src/include/cypressford/unreachable_peers.h
@@ -2,8 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Daemons that one daemon of a hall has found not to answer, for all that ask it: a daemon
-/// that sees a request every few seconds would find out with a request of its own.
+/// Daemons that do not answer, found by one daemon of a hall for its followers: a daemon
+/// that gets a request only every few seconds would detect each of them at the cost of a
+/// request.
 
 #pragma once
 
@@ -14,31 +15,31 @@
 
 namespace cypressford {
 
-/// What is told of them.
+/// The list of unreachable daemons that followers receive.
 struct UnreachableList {
     std::uint64_t revision = 0;
     std::set<std::string> addresses; ///< "ip:port" for other daemons
 };
 
-/// Keeps them at the daemon that others ask.  Has no I/O and no clock.
+/// Keeps the list at the daemon that serves it.  Has no I/O and no clock.
 class UnreachablePeers {
 public:
-    /// Of a fleet in parts; more than these are not worth their bytes.
+    /// In a partitioned fleet, a list of more addresses is not worth its size.
     static constexpr std::size_t kMaxPeers = 64;
 
-    /// True if the daemon is to be asked for a sign of life now, and again until it gives
-    /// one: a report alone may be the teller's fault.
+    /// True if the daemon must be checked with keepalive requests now, until it answers:
+    /// the fault behind a report may lie with the reporter.
     bool begin_check(const std::string& address)
     {
         return m_checked.size() < kMaxPeers && m_checked.insert(address).second;
     }
-    /// What came of asking.  True if the list changed.
+    /// Records the result of a check.  True if the list changed.
     bool record_check(const std::string& address, bool answers);
 
     const UnreachableList& list() const { return m_list; }
 
 private:
-    std::set<std::string> m_checked; ///< under way
+    std::set<std::string> m_checked; ///< checks in progress
     UnreachableList m_list;
 };
 
--- a/src/libcypressford/reach_table.cpp
+++ b/src/libcypressford/reach_table.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// An upstream that nobody has tried for so long has ended: others are tried each
+/// An upstream that was not tried for this time has ended: all others are tried every
 /// kRetryInterval.
-constexpr Micros kForgetAfter = 60 * kSecond;
+constexpr Micros kExpiryTime = 60 * kSecond;
 
 } // namespace
 
@@ -17,19 +17,19 @@
 ReachTable::record_unreachable(const std::string& from, const UpstreamRun& run,
                                const std::string& hall, Micros now)
 {
-    std::erase_if(m_try_at,
-                  [now](const auto& item) { return now - item.second > kForgetAfter; });
-    m_try_at[run] = now + kRetryInterval;
-    FailedRoute& way = m_failed_routes[{from, hall}];
-    way.failed.insert(run);
-    way.retry_at = now + kRetryInterval;
+    std::erase_if(m_retry_at,
+                  [now](const auto& item) { return now - item.second > kExpiryTime; });
+    m_retry_at[run] = now + kRetryInterval;
+    FailedRoute& route = m_failed_routes[{from, hall}];
+    route.failed.insert(run);
+    route.retry_at = now + kRetryInterval;
 }
 
 void
 ReachTable::record_answer(const std::string& from, const UpstreamRun& run,
                           const std::string& hall)
 {
-    m_try_at.erase(run);
+    m_retry_at.erase(run);
     m_failed_routes.erase({from, hall});
 }
 
@@ -37,24 +37,25 @@
 ReachTable::record_sent(const std::string& from, const UpstreamRun& run,
                         const std::string& hall, Micros now)
 {
-    if (const auto upstream = m_try_at.find(run); upstream != m_try_at.end())
+    if (const auto upstream = m_retry_at.find(run); upstream != m_retry_at.end())
         upstream->second = now + kRetryInterval;
-    if (const auto way = m_failed_routes.find({from, hall}); way != m_failed_routes.end())
-        way->second.retry_at = now + kRetryInterval;
+    if (const auto route = m_failed_routes.find({from, hall});
+        route != m_failed_routes.end())
+        route->second.retry_at = now + kRetryInterval;
 }
 
 bool
 ReachTable::should_avoid(const std::string& from, const UpstreamRun& run,
                          const std::string& hall, Micros now) const
 {
-    if (m_failed_routes.empty() && m_try_at.empty())
+    if (m_failed_routes.empty() && m_retry_at.empty())
         return false;
-    if (const auto upstream = m_try_at.find(run);
-        upstream != m_try_at.end() && now < upstream->second)
+    if (const auto upstream = m_retry_at.find(run);
+        upstream != m_retry_at.end() && now < upstream->second)
         return true;
-    const auto way = m_failed_routes.find({from, hall});
-    return way != m_failed_routes.end() && way->second.is_open()
-        && now < way->second.retry_at;
+    const auto route = m_failed_routes.find({from, hall});
+    return route != m_failed_routes.end() && route->second.is_open()
+        && now < route->second.retry_at;
 }
 
 } // namespace cypressford
--- a/src/libcypressford/reach_test.cpp
+++ b/src/libcypressford/reach_test.cpp
@@ -2,8 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What daemons tell each other of upstreams that can't be reached, and what callers of a
-/// large fleet get by it.
+/// Reports between daemons about unreachable upstreams, and their effect in a large fleet.
 
 #include <deque>
 #include <map>
@@ -17,28 +16,28 @@
 namespace cypressford {
 namespace {
 
-constexpr Micros kSoon = ReachTable::kRetryInterval - 1;
+constexpr Micros kBeforeRetry = ReachTable::kRetryInterval - 1;
 
-TEST_CASE("an upstream that failed for one daemon is avoided by all, and tried again")
+TEST_CASE("an upstream that failed for one daemon is avoided by all, and retried")
 {
     ReachTable table;
     CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i1", 1}, "b", 0));
     table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 0);
-    CHECK(table.should_avoid("a", UpstreamRun {"i1", 1}, "b", kSoon));
-    CHECK(table.should_avoid("c", UpstreamRun {"i1", 1}, "b", kSoon));
-    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i2", 1}, "b", kSoon));
-    // One request tries it; the others wait for what becomes of that.
+    CHECK(table.should_avoid("a", UpstreamRun {"i1", 1}, "b", kBeforeRetry));
+    CHECK(table.should_avoid("c", UpstreamRun {"i1", 1}, "b", kBeforeRetry));
+    CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i2", 1}, "b", kBeforeRetry));
+    // One request tries it; the others avoid it until the result is known.
     CHECK_FALSE(
         table.should_avoid("a", UpstreamRun {"i1", 1}, "b", ReachTable::kRetryInterval));
     table.record_sent("a", UpstreamRun {"i1", 1}, "b", ReachTable::kRetryInterval);
     CHECK(table.should_avoid("c", UpstreamRun {"i1", 1}, "b",
-                             ReachTable::kRetryInterval + kSoon));
+                             ReachTable::kRetryInterval + kBeforeRetry));
     table.record_answer("a", UpstreamRun {"i1", 1}, "b");
     CHECK_FALSE(table.should_avoid("c", UpstreamRun {"i1", 1}, "b",
-                                   ReachTable::kRetryInterval + kSoon));
+                                   ReachTable::kRetryInterval + kBeforeRetry));
 }
 
-TEST_CASE("a hall whose upstreams fail one after the other is taken for cut off")
+TEST_CASE("a hall whose upstreams fail one after another is assumed to be cut off")
 {
     ReachTable table;
     table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 0);
@@ -54,7 +53,7 @@
     CHECK_FALSE(table.should_avoid("a", UpstreamRun {"i9", 1}, "b", 5));
 }
 
-TEST_CASE("answers in between keep single failures from closing a hall")
+TEST_CASE("answers in between keep isolated failures from closing off a hall")
 {
     ReachTable table;
     for (int i = 0; i < 20; ++i) {
@@ -64,8 +63,8 @@
     CHECK_FALSE(table.should_avoid("a", UpstreamRun {"other", 1}, "b", 20));
 }
 
-/// Prompts of daemons in five halls for 160 engines while one hall is cut off: what the
-/// leader of the set does with them.
+/// Prompts from daemons in five halls to 160 engines while one hall is cut off, as placed
+/// by the leader of the set.
 class CutHall {
 public:
     explicit CutHall(PolicySwitches switches)
@@ -78,15 +77,15 @@
                 "10.0.0." + std::to_string(i) + ":80", hall(i), "i" + std::to_string(i)));
     }
 
-    /// Requests that were sent to an engine that can't be reached.
+    /// Requests sent to unreachable engines.
     int lost() const { return m_lost; }
-    /// Requests sent to the hall that was cut off, in the last second.
-    int back_again() const { return m_back_again; }
+    /// Requests sent in the last second to the hall that had been cut off.
+    int sent_after_recovery() const { return m_sent_after_recovery; }
 
-    void play()
+    void simulate()
     {
-        for (Micros now = 0; now < kEnd; now += kPace) {
-            tell(now);
+        for (Micros now = 0; now < kEnd; now += kInterval) {
+            report_outcomes(now);
             send(now);
         }
     }
@@ -94,7 +93,7 @@
 private:
     static constexpr int kEngines = 160;
     static constexpr int kHalls = 5;
-    static constexpr Micros kPace = kSecond / 446;
+    static constexpr Micros kInterval = kSecond / 446;
     static constexpr Micros kCutFrom = 2 * kSecond;
     static constexpr Micros kCutUntil = kCutFrom + 5500 * kMillisecond;
     static constexpr Micros kEnd = kCutUntil + 3 * kSecond;
@@ -109,7 +108,7 @@
 
     static std::string hall(int number) { return "h" + std::to_string(number % kHalls); }
 
-    void tell(Micros now)
+    void report_outcomes(Micros now)
     {
         while (!m_outcomes.empty() && m_outcomes.begin()->first <= now) {
             const Outcome& outcome = m_outcomes.begin()->second;
@@ -128,7 +127,7 @@
         const std::string cut = hall(2);
         const std::string from = hall(static_cast<int>(m_random() % kHalls));
         const bool is_cut = now >= kCutFrom && now < kCutUntil;
-        // Daemons of the hall that is cut off do not reach this leader.
+        // Daemons of the hall that is cut off can't reach this leader.
         if (is_cut && from == cut)
             return;
         PromptQuery query;
@@ -143,7 +142,7 @@
         const bool reached = !is_cut || upstream->hall != cut;
         m_lost += reached ? 0 : 1;
         if (upstream->hall == cut && now >= kEnd - kSecond)
-            ++m_back_again;
+            ++m_sent_after_recovery;
         const Micros at = now + (reached ? kFirstEvent : kConnectTime);
         m_outcomes.emplace(at, Outcome {at, query.attempt, reached});
     }
@@ -154,22 +153,22 @@
     std::mt19937_64 m_random {1};
     std::uint64_t m_number = 0;
     int m_lost = 0;
-    int m_back_again = 0;
+    int m_sent_after_recovery = 0;
 };
 
-TEST_CASE("while a hall is cut off, few prompts are sent there, and many once it is back")
+TEST_CASE("few prompts go to a hall while it is cut off, and many once it has recovered")
 {
-    PolicySwitches alone;
-    alone.switch_off(Mechanism::SharedReach);
-    CutHall without(alone);
-    without.play();
+    PolicySwitches unshared;
+    unshared.switch_off(Mechanism::SharedReach);
+    CutHall without(unshared);
+    without.simulate();
     CutHall with({});
-    with.play();
+    with.simulate();
     MESSAGE("prompts sent to a hall that is cut off for 5.5 s: ", without.lost(),
-            " without, ", with.lost(), " with");
+            " without shared reports, ", with.lost(), " with them");
     CHECK(without.lost() > 300);
     CHECK(with.lost() < 100);
-    CHECK(with.back_again() > 60);
+    CHECK(with.sent_after_recovery() > 60);
 }
 
 } // namespace
--- a/src/libcypressford/silence_test.cpp
+++ b/src/libcypressford/silence_test.cpp
@@ -8,11 +8,11 @@
 namespace cypressford {
 namespace {
 
-constexpr Micros kSignWait = 200 * kMillisecond; ///< an unanswered sign takes so long
+constexpr Micros kKeepaliveTimeout = 200 * kMillisecond; ///< of an unanswered request
 
-/// Time from a cut at `cut_at` after the watch began until it is noticed.
+/// Time until a cut is detected that occurs `cut_at` after the start of the watch.
 Micros
-time_to_notice(int daemons, Micros cut_at)
+time_to_detect(int daemons, Micros cut_at)
 {
     UnresponsiveDetector detector(daemons);
     std::optional<Micros> pause = detector.first_interval();
@@ -20,24 +20,24 @@
     while (pause) {
         now += *pause;
         const bool answered = now < cut_at;
-        now += answered ? 0 : kSignWait;
+        now += answered ? 0 : kKeepaliveTimeout;
         pause = detector.next_interval(answered);
     }
     return now - cut_at;
 }
 
-TEST_CASE("a cut is noticed after two unanswered signs without a pause between them")
+TEST_CASE("a cut is detected after two unanswered keepalives without a delay between them")
 {
     Micros sum = 0;
-    constexpr int plays = 100;
-    for (int i = 0; i < plays; ++i)
-        sum += time_to_notice(89, kSecond + i * kMillisecond);
-    MESSAGE("a cut is noticed after ", sum / plays / kMillisecond,
-            " ms in the mean; with a pace of 200 ms and a pause after a miss 700 ms");
-    CHECK(sum / plays <= 460 * kMillisecond);
+    constexpr int runs = 100;
+    for (int i = 0; i < runs; ++i)
+        sum += time_to_detect(89, kSecond + i * kMillisecond);
+    MESSAGE("a cut is detected after ", sum / runs / kMillisecond,
+            " ms on average; with an interval of 200 ms and a delay after a miss 700 ms");
+    CHECK(sum / runs <= 460 * kMillisecond);
 }
 
-TEST_CASE("many daemons ask one leader less often, and one lost sign is forgiven")
+TEST_CASE("many daemons poll one leader less often, and one lost keepalive is tolerated")
 {
     CHECK(UnresponsiveDetector(9).first_interval() == 100 * kMillisecond);
     CHECK(UnresponsiveDetector(700).first_interval() == 200 * kMillisecond);
