--- a/src/engine.upstream/engine.cpp
+++ b/src/engine.upstream/engine.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Model engines: generation as server-sent events, streams that can be
-/// resumed by id and cancelled.
+/// Model engines: generation as server-sent events; streams can be resumed by id and
+/// cancelled.
 
 #include <cypressford/registry.h>
 #include <cypressford/upstream_kind.h>
@@ -17,9 +17,9 @@
 /// Server-sent events whose data is {"i":index,"t":text} or {"done":true}.
 class EngineStreamDecoder final : public StreamDecoder {
 public:
-    std::vector<StreamToken> feed(std::string_view piece) override
+    std::vector<StreamToken> feed(std::string_view chunk) override
     {
-        m_buffer += piece;
+        m_buffer += chunk;
         std::vector<StreamToken> tokens;
         std::size_t end = 0;
         while ((end = m_buffer.find("\n\n")) != std::string::npos) {
--- a/src/include/cypressford/upstream.h
+++ b/src/include/cypressford/upstream.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a daemon knows of upstreams, and the immutable snapshot of bundle and
-/// upstreams that a request reads from its first byte to its last.
+/// State of upstreams in one daemon, and the immutable snapshot of bundle and upstreams
+/// that a request uses from its first byte to its last.
 
 #pragma once
 
@@ -29,11 +29,11 @@
 
 namespace cypressford {
 
-/// Dense ids that stay the same over all snapshots of one process.
+/// Dense ids, stable across all snapshots of one process.
 using SetId = std::uint32_t;
 using StageId = std::uint32_t;
 
-/// A load report, as an upstream gave it to some daemon of the hall.
+/// A load report that an upstream sent to some daemon of the hall.
 struct LoadReport {
     int in_flight = 0;
     int queued = 0;
@@ -41,10 +41,10 @@
     bool leaving = false;
 };
 
-/// Live state of one upstream.  Shared by all threads; every member is atomic
-/// because it is read and written on the path of a request.
+/// Live state of one upstream.  Shared by all threads; its variable members are atomic
+/// because they are read and written on the request path.
 struct UpstreamState {
-    /// `seed`: drawn by this daemon.
+    /// `seed`: random, one per daemon.
     UpstreamState(std::string address_, std::string hall_, std::string identity_ = {},
                   std::uint64_t seed = 0, std::int64_t born_ = 0,
                   std::shared_ptr<SelfReport> said_ = std::make_shared<SelfReport>())
@@ -59,16 +59,16 @@
 
     const std::string address; ///< "ip:port"
     const std::string hall;
-    const std::string identity; ///< if the platform tells; else empty
-    const std::int64_t born; ///< start of this run of it; see UpstreamRun
-    const std::shared_ptr<SelfReport> said; ///< by this run; never null
+    const std::string identity; ///< empty if the platform gives none
+    const std::int64_t born; ///< start time of this run; see UpstreamRun
+    const std::shared_ptr<SelfReport> said; ///< self-report of this run; never null
     const std::uint64_t address_hash = std::hash<std::string> {}(address);
 
-    std::atomic<int> slots {0}; ///< calls it runs at a time; 0: as its set says
+    std::atomic<int> slots {0}; ///< concurrent calls; 0: as configured for its set
     std::atomic<int> in_flight {0}; ///< calls of this daemon
     std::atomic<int> others {
-        0}; ///< calls of other daemons, queued ones too, as last reported
-    std::atomic<int> queued {0}; ///< calls queued there, as last reported
+        0}; ///< calls of other daemons, including queued ones, as last reported
+    std::atomic<int> queued {0}; ///< calls queued at the upstream, as last reported
     std::atomic<Micros> reported_at {-1}; ///< when the report was made; -1 for never
     std::atomic<std::uint64_t> incarnation {0};
     std::atomic<bool> leaving {false};
@@ -76,35 +76,35 @@
     std::atomic<Micros> ejected_until {0};
     std::atomic<int> failures {0}; ///< consecutive
     std::atomic<int> ejections {0}; ///< since the last success
-    std::atomic<bool> probing {false}; ///< one trial call is under way
+    std::atomic<bool> probing {false}; ///< one trial call is in progress
     std::atomic<Micros> latency {0}; ///< moving average; 0 while unknown
-    std::atomic<Micros> answered_at {0}; ///< time of the last whole answer
+    std::atomic<Micros> answered_at {0}; ///< time of the last complete answer
     ColdState cold;
 
-    /// True if the platform, a peer or the upstream itself says so.
+    /// True if the platform, a peer or the upstream itself reports it as leaving.
     bool is_leaving(Micros now) const
     {
         return leaving.load(std::memory_order_relaxed) || said->may_be_leaving(now);
     }
 
-    /// Which run of which upstream this is.
+    /// The run of the upstream that this state belongs to.
     UpstreamRun run() const { return {identity, born}; }
 
-    /// What its set says of all its upstreams.
+    /// Applies the settings that its set has for all its upstreams.
     void apply_spec(const UpstreamSetSpec& spec);
 
-    /// Takes over a load report that was made at `at`.  Older ones are ignored.
+    /// Applies a load report made at `at`; ignored if older than the last one.
     void apply_report(const LoadReport& report, Micros at);
 
-    /// A whole answer came after `service_time`.
+    /// Records a complete answer received after `service_time`.
     void record_success(Micros service_time, Micros now);
 
-    /// A call failed.  After `limit` of them in a row the upstream is taken out
-    /// for a while that doubles each time; true if that happened now.
+    /// Records a failed call.  After `limit` consecutive failures the upstream is ejected
+    /// for a period that doubles with each ejection; true if this call ejected it.
     bool record_failure(int limit, Micros now);
 
     /// Marks it as leaving in its present incarnation.  Only a report of a
-    /// later incarnation takes the mark away again.
+    /// later incarnation clears the mark.
     void mark_leaving() { leaving.store(true, std::memory_order_relaxed); }
 };
 
@@ -113,39 +113,39 @@
 /// Live state of one client account's share on this daemon.
 struct AccountState {
     std::atomic<Micros> next_allowed {0}; ///< theoretical arrival time (GCRA)
-    std::atomic<double> share {1.0}; ///< part of the account's rate that is ours
+    std::atomic<double> share {1.0}; ///< this daemon's part of the account's rate
     std::atomic<std::uint64_t> admitted {0};
 
-    /// Takes one request out of the share, or returns how long until it may come.
+    /// Takes one request from the share: 0, or the time until the next one is allowed.
     Micros take(const AccountSpec& spec, Micros now);
 };
 
-/// What the daemon that leads a set of batched upstreams last said of it.
+/// Load of a set of batched upstreams, as last reported by the daemon that leads it.
 class SetLoad {
 public:
-    /// A piece of that priority that came at `now` would wait so long.
+    /// Sets the expected wait of a piece of that priority that arrives at `now`.
     void tell(int priority, Micros expected_wait, Micros now)
     {
-        Told& told = m_told.at(static_cast<std::size_t>(priority));
-        told.wait.store(expected_wait, std::memory_order_relaxed);
-        told.at.store(now, std::memory_order_relaxed);
+        WaitEstimate& estimate = m_waits.at(static_cast<std::size_t>(priority));
+        estimate.wait.store(expected_wait, std::memory_order_relaxed);
+        estimate.at.store(now, std::memory_order_relaxed);
     }
-    /// The wait as it must be by now: what waited then is worked off since.
+    /// The reported wait less the time passed since, in which the queue was worked off.
     Micros wait_at(int priority, Micros now) const
     {
-        const Told& told = m_told.at(static_cast<std::size_t>(priority));
-        const Micros age = now - told.at.load(std::memory_order_relaxed);
-        return std::max<Micros>(0, told.wait.load(std::memory_order_relaxed) - age);
+        const WaitEstimate& estimate = m_waits.at(static_cast<std::size_t>(priority));
+        const Micros age = now - estimate.at.load(std::memory_order_relaxed);
+        return std::max<Micros>(0, estimate.wait.load(std::memory_order_relaxed) - age);
     }
 
-    /// Pieces of that priority took so much longer than their call alone takes.
+    /// Records by how much pieces of that priority took longer than their call alone.
     void record_delay(int priority, Micros delay)
     {
         auto& average = m_delays.at(static_cast<std::size_t>(priority));
         const Micros before = average.load(std::memory_order_relaxed);
         average.store(before + (delay - before) / kDelayWeight, std::memory_order_relaxed);
     }
-    /// The same as it was of late.
+    /// Moving average of the recorded delays.
     Micros typical_delay(int priority) const
     {
         return m_delays.at(static_cast<std::size_t>(priority))
@@ -153,32 +153,32 @@
     }
 
 private:
-    /// One observation counts for this part of the average: some ten of them, less
-    /// than a second's, replace what was.
+    /// Weight of one delay in the moving average: 1 / kDelayWeight.  About ten delays,
+    /// which arrive in less than a second, replace the old value.
     static constexpr Micros kDelayWeight = 8;
 
-    struct Told {
+    struct WaitEstimate {
         std::atomic<Micros> wait {0};
         std::atomic<Micros> at {0};
     };
-    std::array<Told, kLowestPriority + 1> m_told;
+    std::array<WaitEstimate, kLowestPriority + 1> m_waits;
     std::array<std::atomic<Micros>, kLowestPriority + 1> m_delays {};
 };
 
-/// The upstreams of one set, own hall first.
+/// The upstreams of one set, by hall.
 struct UpstreamSet {
     SetId id = 0;
     std::shared_ptr<SetLoad> load = std::make_shared<SetLoad>();
     UpstreamSetSpec spec;
     std::vector<std::shared_ptr<UpstreamState>> own; ///< in this daemon's hall
     std::vector<std::shared_ptr<UpstreamState>> remote; ///< in other halls
-    /// Generation of the snapshot in which the two last changed.
+    /// Generation of the snapshot in which `own` or `remote` last changed.
     std::uint64_t revision = 0;
 };
 
-/// What is learned of one pipeline, shared by all threads.
+/// Learned state of one pipeline, shared by all threads.
 struct PipelineState {
-    std::atomic<Micros> first_byte {0}; ///< from sending to an answer's head; average
+    std::atomic<Micros> first_byte {0}; ///< moving average, from request to response head
 
     void record_first_byte(Micros time)
     {
@@ -198,19 +198,18 @@
     std::vector<StageId> stage_ids; ///< per stage: id for learned latencies
     std::vector<std::size_t> piece_sets; ///< per piece stage: index into Snapshot::sets
     std::vector<StageId> piece_stage_ids; ///< per piece stage
-    HallLimit halls; ///< by its regions
+    HallLimit halls; ///< halls of its regions
 };
 
 /// One account with its live state.
 struct ResolvedAccount {
     AccountSpec spec;
     std::shared_ptr<AccountState> state;
-    HallLimit halls {}; ///< by its regions
+    HallLimit halls {}; ///< halls of its regions
 };
 
-/// A bundle with its pipelines and accounts resolved.  Never changes once made, and is
-/// shared by all snapshots of the bundle: upstreams that are replaced make a snapshot a
-/// second.
+/// A bundle with its pipelines and accounts resolved.  Immutable, and shared by all
+/// snapshots of the bundle: changes of upstreams make about one snapshot a second.
 struct ResolvedBundle {
     std::string name;
     std::uint64_t version = 0;
@@ -223,15 +222,15 @@
     std::size_t nobody = 0; ///< index of the account of callers without a credential
     CallerLimits limits;
 
-    /// The pipeline for a relayed request; `pick` chooses among those that
-    /// share the longest prefix, by weight.  Nothing: there is none.
+    /// The pipeline for a relayed request; `pick` chooses by weight among those that
+    /// share the longest prefix.  Nothing if none matches.
     std::optional<std::size_t> match(std::string_view host, std::string_view path,
                                      std::uint64_t pick) const;
 };
 
 using ResolvedBundlePtr = std::shared_ptr<const ResolvedBundle>;
 
-/// Bundle in force and upstreams.  Never changes once made.
+/// Bundle in force and upstreams.  Immutable.
 struct Snapshot {
     ResolvedBundlePtr bundle;
     std::uint64_t generation = 0; ///< counts snapshots of this process
@@ -244,29 +243,29 @@
     std::string upstream_set;
     std::string address; ///< "ip:port"
     std::string hall;
-    int slots = 0; ///< 0: as its set says
+    int slots = 0; ///< 0: as configured for its set
     bool leaving = false;
-    Micros cold_until = 0; ///< it has started lately, and is cold until then
-    std::int64_t born = 0; ///< start of this run of it; see UpstreamRun
+    Micros cold_until = 0; ///< end of the cold period after its start
+    std::int64_t born = 0; ///< start time of this run; see UpstreamRun
 
     bool operator==(const UpstreamMember&) const = default;
 };
 
-/// What became of one upstream that the platform lists.
+/// Change of one upstream in the platform's list.
 struct MemberChange {
     std::optional<UpstreamMember> before; ///< nothing: it is new
-    std::optional<UpstreamMember> now; ///< nothing: it is listed no more
+    std::optional<UpstreamMember> now; ///< nothing: it is no longer listed
 };
 
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
-/// Makes snapshots and carries live state over from one to the next.
+/// Makes snapshots and carries live state over from each to the next.
 class UpstreamTable {
 public:
     /// Region of each hall.
     using Regions = std::map<std::string, std::string>;
 
-    /// `hall`: of this daemon.  `seed`: drawn by it.
+    /// `hall`: of this daemon.  `seed`: random, one per daemon.
     explicit UpstreamTable(std::string hall, std::uint64_t seed = 0, Regions regions = {})
         : m_hall(std::move(hall))
         , m_seed(seed)
@@ -275,36 +274,36 @@
     {
     }
 
-    /// So many daemons are alive in all halls; they share what upstreams bear.  Called by
-    /// one thread.
+    /// Sets the number of live daemons in all halls, which share the rates of
+    /// upstreams. Called by one thread.
     void set_daemons(int count, Micros now) { m_sharers->set(count, now); }
 
-    /// Resolves a bundle.  Not on the path of a request, as all of these.
+    /// Resolves a bundle.  Like all functions here, not on the request path.
     ResolvedBundlePtr resolve(const Bundle& bundle);
 
     /// A snapshot of the bundle with the upstreams that it names and those that the
-    /// platform lists.  One that is listed no more gets nothing new from now on, also
-    /// under older snapshots.
+    /// platform lists.  An upstream that is no longer listed gets no new work, not even
+    /// by way of older snapshots.
     SnapshotPtr build(ResolvedBundlePtr bundle, const std::vector<UpstreamMember>& members);
 
-    /// The snapshot `before` with these changes, in time that follows their number.  Null:
-    /// the bundle has other sets, so that a snapshot must be built.
+    /// The snapshot `before` with these changes, in time proportional to their number.
+    /// Null if the bundle has other sets; a snapshot must then be built.
     SnapshotPtr update(const Snapshot& before, ResolvedBundlePtr bundle,
                        const std::vector<MemberChange>& changes);
 
-    /// Both in one.
+    /// Resolves the bundle and builds the snapshot.
     SnapshotPtr build(const Bundle& bundle,
                       const std::vector<UpstreamMember>& members = {});
 
-    /// These halls are evacuated and no others: their upstreams get nothing new from now
-    /// on, also under older snapshots.  A hall that comes back comes back cold: its
-    /// upstreams may have been started while they got nothing.
+    /// Sets the evacuated halls.  Their upstreams get no new work, not even by way of
+    /// older snapshots.  Upstreams of a hall that returns to service are taken to be
+    /// cold: they may have been started during the evacuation.
     void set_evacuated(std::vector<std::string> halls, Micros now);
 
     /// The upstream with that address, or null.
     std::shared_ptr<UpstreamState> find(std::string_view address) const;
 
-    /// All upstreams met so far.
+    /// All upstreams known to this table.
     std::vector<std::shared_ptr<UpstreamState>> all() const;
 
 private:
@@ -312,7 +311,8 @@
                                             const std::string& hall,
                                             const UpstreamRun& run = {});
     std::uint32_t id_of(const std::string& name);
-    /// A reused address with another identity, or one that started again, is another one.
+    /// The key includes the run: a reused address with another identity, or a restarted
+    /// upstream, has a state of its own.
     static std::string key_of(const std::string& address, const UpstreamRun& run);
     UpstreamSet resolve_set(const UpstreamSetSpec& spec);
     ResolvedPipeline resolve_pipeline(const PipelineSpec& spec,
@@ -326,7 +326,7 @@
 
     bool is_evacuated(const std::string& hall) const;
 
-    /// Halls of these regions; all if there are none.
+    /// Halls of these regions; all halls if there are no regions.
     HallLimit halls_of(const std::vector<std::string>& regions) const;
 
     const std::string m_hall;
--- a/src/include/cypressford/upstream_kind.h
+++ b/src/include/cypressford/upstream_kind.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Interface of upstream-kind plug-ins: how a kind of upstream is spoken to.
+/// Interface of upstream-kind plug-ins: the protocol of a kind of upstream.
 
 #pragma once
 
@@ -17,17 +17,17 @@
 
 namespace cypressford {
 
-/// One stage of one request, as it goes to an upstream.
+/// One stage of one request, as sent to an upstream.
 struct StageCall {
     const StageSpec* stage = nullptr;
-    std::string input; ///< output of the stage before, or the body
+    std::string input; ///< output of the previous stage, or the request body
     int priority = 0;
     std::int64_t budget_ms = 0; ///< time left until the deadline
     std::string key; ///< Idempotency-Key, for non-repeatable stages
     std::int64_t fence = 0; ///< fencing token; 0 for none
     std::string stream; ///< id of the stream, for generate
-    std::size_t delivered = 0; ///< tokens that exist already
-    std::string prefix; ///< their text
+    std::size_t delivered = 0; ///< number of tokens that were generated before
+    std::string prefix; ///< text of these tokens
 };
 
 /// One token of a generated text.
@@ -36,15 +36,15 @@
     std::string text;
 };
 
-/// Takes a streamed answer apart, piece by piece.
+/// Decodes a streamed answer incrementally.
 class StreamDecoder {
 public:
     virtual ~StreamDecoder() = default;
 
-    /// Tokens that are whole after this piece.
-    virtual std::vector<StreamToken> feed(std::string_view piece) = 0;
+    /// Tokens completed by this chunk of the answer.
+    virtual std::vector<StreamToken> feed(std::string_view chunk) = 0;
 
-    /// True once the upstream has said that the text is whole.
+    /// True once the upstream has marked the text as complete.
     virtual bool finished() const = 0;
 };
 
@@ -54,19 +54,19 @@
 
     virtual HttpRequest encode(const StageCall& call) const = 0;
 
-    /// The stage's output in a whole answer.
+    /// The stage's output in a complete answer.
     virtual Result<std::string> decode(const HttpResponse& response) const = 0;
 
-    /// Null for kinds that answer in one piece.
+    /// Null for kinds that do not stream their answers.
     virtual std::unique_ptr<StreamDecoder> stream_decoder() const { return nullptr; }
 
-    /// Asks for the rest of a stream, for kinds that have streams.
+    /// Request for the remainder of a stream, for kinds that have streams.
     virtual HttpRequest resume(std::string_view, std::size_t) const { return {}; }
 
-    /// Ends a stream whose reader is gone for good.
+    /// Request that ends a stream whose reader has disconnected for good.
     virtual HttpRequest cancel(std::string_view) const { return {}; }
 
-    // Orders, for kinds that hold models.
+    // Model-loading orders, for kinds that hold models.
     virtual bool takes_orders() const { return false; }
     virtual HttpRequest models_request() const { return {}; }
     virtual std::vector<std::string> decode_models(const HttpResponse&) const { return {}; }
--- a/src/include/cypressford/upstream_run.h
+++ b/src/include/cypressford/upstream_run.h
@@ -10,12 +10,12 @@
 
 namespace cypressford {
 
-/// One run of an upstream, from its start to its end.  An upstream that starts again may
-/// keep its identity; what was known of the run before says nothing of the next one.
+/// One run of an upstream, from its start to its end.  An upstream that restarts may keep
+/// its identity; state recorded for the previous run does not apply to the next one.
 struct UpstreamRun {
     std::string identity;
-    /// When it started, in milliseconds by its own clock: to be compared with the starts
-    /// of the same identity only.  0: not told.
+    /// Start time in ms by the upstream's own clock: only comparable with start times of
+    /// the same identity.  0: not reported.
     std::int64_t born = 0;
 
     bool operator==(const UpstreamRun&) const = default;
@@ -25,7 +25,7 @@
 struct UpstreamRunHash {
     std::size_t operator()(const UpstreamRun& run) const
     {
-        // An identity seldom has two runs at a time.
+        // An identity rarely has two runs at a time.
         return std::hash<std::string> {}(run.identity)
             ^ std::hash<std::int64_t> {}(run.born);
     }
--- a/src/include/cypressford/upstream_use.h
+++ b/src/include/cypressford/upstream_use.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The questions that are asked of an upstream before it gets work.
+/// Checks made on an upstream before a call is sent to it.
 
 #pragma once
 
@@ -10,31 +10,32 @@
 
 namespace cypressford {
 
-/// What a call is counted against while its upstream names a limit.
+/// The part of an upstream's announced rate limit that a call is counted against.
 enum class CallCount : unsigned char {
     Own, ///< this daemon's own part
-    Granted, ///< what this daemon sends as the leader of the set
-    Counted, ///< nothing: the leader of the set has counted it when it granted it
+    Granted, ///< the part that this daemon has as the leader of the set
+    Counted, ///< none: the leader of the set counted the call when it granted it
 };
 
-/// Asked right before the first byte of a call: between the choice of an upstream and that
-/// lie a connection (250 ms) and the calls of other threads, whose answers tell more.
-/// False while the upstream is leaving, in an evacuated hall or resting, or if it may get
-/// no call now by the limit that it names; else the call counts as sent.  Each sender of
-/// the daemon asks here, so that no retry, hedge or resumed stream goes uncounted.
+/// To be called right before the first byte of a call: since the upstream was chosen, a
+/// connection may have been opened (up to 250 ms) and answers to other threads' calls may
+/// have changed its state.  False if the upstream is leaving, in an evacuated hall or in
+/// backoff, or if its announced limit allows no call now; otherwise the call is counted as
+/// sent.  Every sender of the daemon calls this, so that retries, hedges and resumed
+/// streams are counted as well.
 bool begin_call(UpstreamState& upstream, CallCount count, Micros now);
 
-/// True unless the upstream is leaving, in an evacuated hall or taken out after failures.
-/// The leader of a set asks this for other daemons: a rest is asked of one daemon, and each
-/// tells the leader which upstreams it can't use.
+/// True unless the upstream is leaving, in an evacuated hall or ejected after failures.
+/// The leader of a set checks this on behalf of other daemons: a backoff applies to one
+/// daemon, and each daemon reports to the leader which upstreams it can't use.
 bool is_in_service(const UpstreamState& upstream, Micros now);
 
-/// The same, and it neither rests for this daemon nor has had all calls that its limit lets
-/// that part send by now: it may be chosen.
+/// True if it is in service, not in backoff for this daemon, and its limit allows a call of
+/// that part now: it may be chosen.
 bool is_usable(const UpstreamState& upstream, Micros now, RatePart part = RatePart::Own);
 
-/// Until when the upstream rests for this daemon or has had all calls of its limit; 0 or a
-/// past time: it is open.
+/// End of the backoff for this daemon, or the time at which the limit allows the next call,
+/// whichever is later; 0 or a past time: calls are allowed.
 Micros unavailable_until(const UpstreamState& upstream, RatePart part);
 
 } // namespace cypressford
--- a/src/libcypressford/restart_test.cpp
+++ b/src/libcypressford/restart_test.cpp
@@ -2,13 +2,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Upstreams that start again under the identity that they had.
+/// Upstreams that restart under the same identity.
 ///
-/// What would be seen: an upstream that crashed, or drained and left, is back within
-/// seconds and gets no work for minutes.  Its records count from one again, so each was
-/// taken for a late record of the run before; what that run had said (leaving, cold) and
-/// what was believed of it (taken out, prompts kept) held for the next one.  Evidence:
-/// these tests failed on the code that knew identities only.
+/// Guards against an upstream that returns within seconds of a crash or a drain and gets no
+/// work for minutes: its records count from one again and were taken for late records of
+/// the previous run, and that run's state (leaving, cold, ejected, cached prompts) was
+/// applied to the next run.
 
 #include <cypressford/directory_view.h>
 #include <cypressford/prompt_placer.h>
@@ -39,14 +38,14 @@
 }
 
 TEST_CASE(
-    "an upstream that started again is in service at once, though its count began anew")
+    "a restarted upstream is in service at once, although its sequence numbers restart")
 {
     DirectoryFold fold(0);
     fold.apply(record_of(900, 100));
     CHECK(fold.apply(record_of(1, 200)));
     REQUIRE(fold.members().size() == 1);
     CHECK(fold.members().front().born == 200);
-    // Records of the run before arrive late, or again.
+    // Records of the previous run arrive late or repeatedly.
     CHECK_FALSE(fold.apply(record_of(901, 100)));
     CHECK_FALSE(fold.apply(record_of(902, 100, true)));
     CHECK(fold.members().front().born == 200);
@@ -55,7 +54,7 @@
     CHECK(fold.members().front().leaving);
 }
 
-TEST_CASE("what a run said of itself ends with it")
+TEST_CASE("self-reported state ends with the run")
 {
     DirectoryFold fold(0);
     fold.apply(record_of(5, 100, true, 30 * kSecond), 0);
@@ -65,7 +64,7 @@
     CHECK(fold.members().front().cold_until == 0);
 }
 
-TEST_CASE("a run that begins with the count at which the one before expired comes back")
+TEST_CASE("a run that starts at the sequence number of the expired one is listed again")
 {
     DirectoryFold fold(0);
     fold.apply(record_of(1, 100));
@@ -77,7 +76,7 @@
     CHECK(fold.members().size() == 1);
 }
 
-TEST_CASE("a record without its start is another writer's, once the start is known")
+TEST_CASE("a record without a start time is ignored once the start time is known")
 {
     DirectoryFold fold(0);
     fold.apply(record_of(3, 100));
@@ -85,7 +84,7 @@
     CHECK_FALSE(fold.members().front().leaving);
 }
 
-TEST_CASE("a new run has a state of its own, and the one before gets nothing more")
+TEST_CASE("a new run has a state of its own, and the previous run gets no more work")
 {
     Bundle bundle;
     UpstreamSetSpec set;
@@ -108,7 +107,7 @@
     CHECK(only(200) == after);
 }
 
-TEST_CASE("prompts that one run kept are not looked for at the next one")
+TEST_CASE("prompts cached by one run are not looked up at the next run")
 {
     UpstreamSet set;
     set.spec.memory_tokens = 100'000;
@@ -134,9 +133,9 @@
     CHECK(placer.last_read().unread == 5000);
 }
 
-/// Signs of life are not told, so who hears of a new run from a reader must take it
-/// whatever it knows of the run before.
-TEST_CASE("daemons that follow a reader hear of a new run")
+/// Keepalives are not forwarded, so a daemon that learns of a new run from a reader must
+/// accept it whatever it has recorded for the previous run.
+TEST_CASE("daemons that follow a reader receive a new run")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -161,7 +160,7 @@
     }
 }
 
-TEST_CASE("a record that can't be read takes no upstream away and holds up no page")
+TEST_CASE("an unreadable record removes no upstream and does not block its page")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -173,7 +172,8 @@
         DirectoryTopic::Upstreams, 2, {{"a", "?"}, {"c", "?"}, {"d", "1"}}, 0, 0, 0);
     CHECK(change.unread.size() == 2);
     CHECK(view.fold().members().size() == 3);
-    // Nor does a listing in which such a record stands for it.
+    // A listing with an unreadable record in place of the upstream's does not remove it
+    // either.
     view.begin_listing(DirectoryTopic::Upstreams, 0);
     view.take_listed(DirectoryTopic::Upstreams, {{"a", "?"}, {"b", "2"}, {"d", "2"}}, 0);
     view.end_listing(DirectoryTopic::Upstreams, 5, 0, 0);
--- a/src/libcypressford/upstream.cpp
+++ b/src/libcypressford/upstream.cpp
@@ -60,7 +60,7 @@
         mark_leaving();
     }
     const int own = in_flight.load(std::memory_order_relaxed);
-    // What is queued there waits for slots as well, whoever sent it.
+    // Queued calls wait for the same slots, whichever daemon sent them.
     const int all = report.in_flight + report.queued;
     others.store(std::max(0, all - own), std::memory_order_relaxed);
     queued.store(report.queued, std::memory_order_relaxed);
@@ -98,7 +98,7 @@
 
 namespace {
 
-/// Callers without a credential share an account that has no name.
+/// Callers without a credential share an account without a name.
 void
 add_anonymous_account(ResolvedBundle& bundle)
 {
@@ -110,7 +110,7 @@
     bundle.accounts.push_back({spec, std::make_shared<AccountState>()});
 }
 
-/// Chooses by weight; `pick` is spread over the whole range of its type.
+/// Chooses by weight; `pick` is uniform over the whole range of its type.
 std::size_t
 choose_by_weight(const ResolvedBundle& bundle, const PathMatch& path, std::uint64_t pick)
 {
--- a/src/libcypressford/upstream_members.cpp
+++ b/src/libcypressford/upstream_members.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Upstreams that the platform lists come into snapshots and leave them.
+/// Adds upstreams that the platform lists to snapshots, and removes them.
 
 #include <algorithm>
 #include <set>
@@ -24,7 +24,7 @@
     return nullptr;
 }
 
-/// Upstreams of a set stand in the order of their identities, as the platform lists them.
+/// Upstreams of a set are sorted by identity, the order of the platform's list.
 Upstreams::iterator
 position_of(Upstreams& upstreams, const std::string& identity)
 {
@@ -107,7 +107,7 @@
     return snapshot;
 }
 
-/// Upstreams with an identity are known only through the platform's list.
+/// Upstreams without an identity come from the bundle and are not in the platform's list.
 void
 UpstreamTable::retire_unlisted(const std::vector<UpstreamMember>& members)
 {
@@ -115,10 +115,11 @@
     for (const UpstreamMember& member : members)
         listed.insert(key_of(member.address, {member.identity, member.born}));
     std::erase_if(m_upstreams, [&](const auto& item) {
-        const bool gone = !item.second->identity.empty() && !listed.contains(item.first);
-        if (gone)
+        const bool unlisted
+            = !item.second->identity.empty() && !listed.contains(item.first);
+        if (unlisted)
             retire(*item.second);
-        return gone;
+        return unlisted;
     });
 }
 
--- a/src/pool.upstream/pool.cpp
+++ b/src/pool.upstream/pool.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Encoders, retrievers and rerankers: one call, one answer.
+/// Encoders, retrievers and rerankers: one answer per call, not streamed.
 
 #include <cypressford/registry.h>
 #include <cypressford/upstream_kind.h>
--- a/src/service.upstream/service.cpp
+++ b/src/service.upstream/service.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Plain services beside the engines, some of whose calls may not be repeated.
+/// Services other than engines; some of their calls may not be repeated.
 
 #include <cypressford/registry.h>
 #include <cypressford/upstream_kind.h>
