--- a/src/include/cypressford/self_report.h
+++ b/src/include/cypressford/self_report.h
@@ -42,7 +42,8 @@
         return leaves() || m_may_be_leaving_until.load(std::memory_order_relaxed) > now;
     }
 
-    /// The run requests no calls from this daemon until then.  The latest end applies.
+    /// The run requests a backoff: no calls from this daemon until `until`.  Of several
+    /// backoffs, the latest end applies.
     /// `connected_ms`: as for record_leaving().
     void note_rest(Micros until, std::int64_t connected_ms = 0);
     /// Copies from `before`, the previous run of the same upstream, the reports that this
--- a/src/include/cypressford/upstream.h
+++ b/src/include/cypressford/upstream.h
@@ -275,7 +275,7 @@
     }
 
     /// Sets the number of live daemons in all halls, which share the rates of
-    /// upstreams. Called by one thread.
+    /// upstreams.  Called by one thread.
     void set_daemons(int count, Micros now) { m_sharers->set(count, now); }
 
     /// Resolves a bundle.  Like all functions here, not on the request path.
