--- a/src/bench/bench_leader.cpp
+++ b/src/bench/bench_leader.cpp
@@ -93,8 +93,8 @@
             query.hall_parts["hall-" + std::to_string(hall)] = 1.0 / kHalls;
         query.reserve = true;
         benchmark::DoNotOptimize(placer.place(set, query, 0));
-        placer.note_begun(query.attempt);
-        placer.note_ended(query.attempt);
+        placer.on_answer_started(query.attempt);
+        placer.record_ended(query.attempt);
     }
     state.SetItemsProcessed(state.iterations());
 }
--- a/src/include/cypressford/piece_order.h
+++ b/src/include/cypressford/piece_order.h
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one daemon asks of the daemon that leads an upstream set of pieces.
+/// Messages between a daemon and the daemon that leads an upstream set: orders for pieces,
+/// placement of prompts, and releases of results.
 
 #pragma once
 
@@ -19,41 +20,42 @@
 struct PieceOrder {
     std::string upstream_set;
     int priority = 0;
-    Micros time_left = 0; ///< of the request
-    Micros due_left = 0; ///< until the latest start that lets it be prompt; may be past
+    Micros time_left = 0; ///< until the deadline of the request
+    Micros due_left = 0; ///< until the latest start for a prompt answer; may be negative
     std::string near; ///< hall where the results are wanted; empty: anywhere
-    std::int64_t result_bytes = 0; ///< of each piece, about
-    bool again = false; ///< made before and gone: each piece is a retry
-    HallLimit halls; ///< they may be made there only
-    std::vector<PieceItem> pieces; ///< `time_left` of each is the order's
+    std::int64_t result_bytes = 0; ///< estimated size of each piece's result
+    bool is_retry = false; ///< the results were made before and lost: each piece is a retry
+    HallLimit halls; ///< the only halls where the pieces may be made
+    std::vector<PieceItem> pieces; ///< `time_left` of each is that of the order
 };
 
 struct PieceAnswer {
-    std::vector<PieceResult> pieces; ///< in the order of the pieces wanted
-    Micros expected_wait = 0; ///< of a piece that would come now
+    std::vector<PieceResult> pieces; ///< in the order of PieceOrder::pieces
+    Micros expected_wait = 0; ///< of a piece that is ordered now
 };
 
-/// What is free again at one set.
+/// Results that are no longer needed at one set, and progress of the requests placed there.
 struct Releases {
     std::string upstream_set;
-    std::vector<std::string> handles; ///< results that nobody will read any more
-    std::vector<std::string> begun; ///< requests whose prompt is read
-    std::vector<std::string> ended; ///< requests that the set runs no longer
-    std::vector<std::string> unreached; ///< that could not be given to their upstream
+    std::vector<std::string> handles; ///< results without a remaining reader
+    std::vector<std::string> started; ///< requests whose answer started: the prompt is read
+    std::vector<std::string> ended; ///< requests that no longer run at the set
+    std::vector<std::string> unreachable; ///< requests that did not reach their upstream
 };
 
-/// Which engine of a set is to read a prompt.
+/// Asks which engine of a set should read a prompt.
 struct PlaceQuery {
     std::string upstream_set;
     PromptQuery prompt;
 };
 
 struct PlaceAnswer {
-    std::string identity; ///< empty: none is usable
+    std::string identity; ///< of the chosen upstream; empty: none is usable
     std::string hall;
-    /// The leader has counted the call against the limit that the upstream names.
+    /// The leader has counted the call against the upstream's rate limit.
     bool is_counted = false;
-    LimitWords limits; ///< what the leader has heard otherwise, or later, than was told
+    /// Limit reports of the leader that are newer than those of the query, or differ.
+    LimitWords limits;
 };
 
 std::string encode(const PlaceQuery& query);
--- a/src/include/cypressford/prompt_placer.h
+++ b/src/include/cypressford/prompt_placer.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which upstream of a set of engines reads a prompt: decided at the daemon that
+/// Chooses the upstream of a set of engines that reads a prompt.  Runs at the daemon that
 /// leads the set, which sees the prompts of all daemons.
 
 #pragma once
@@ -24,33 +24,34 @@
 
 namespace cypressford {
 
-/// A prompt that is to be read.
+/// A prompt to be placed.
 struct PromptQuery {
     std::string attempt;
     std::vector<PrefixPart> parts; ///< in order
     std::int64_t tokens = 0; ///< of the whole prompt
     std::uint64_t affinity = 0; ///< breaks ties the same way each time
-    std::string near; ///< hall where what it reads besides lies; may be empty
-    std::int64_t near_bytes = 0; ///< of that; they cross to an upstream of another hall
-    /// Part of the upstreams of the request's pieces that each hall has; empty: none
-    /// are needed.  A prompt's engine is found in a hall with that probability.
+    std::string near; ///< hall of the other inputs of the request; may be empty
+    /// Bytes of these inputs; they cross to an upstream of another hall.
+    std::int64_t near_bytes = 0;
+    /// Each hall's fraction of the upstreams for the request's pieces; empty: no pieces are
+    /// needed.  A hall is chosen for the prompt with that probability.
     std::map<std::string, double> hall_parts;
-    std::vector<std::string> avoid; ///< identities
-    LimitWords limits; ///< what the asking daemon has heard of limits of the set
-    HallLimit halls; ///< it may be read there only
+    std::vector<std::string> avoid; ///< identities of upstreams
+    LimitWords limits; ///< limit reports that the requesting daemon has received
+    HallLimit halls; ///< the only halls where the prompt may be read
     std::string from; ///< hall of the daemon that will send it
-    bool reserve = false; ///< false: only a question
+    bool reserve = false; ///< false: query only, nothing is recorded
 };
 
-/// Keeps, for each upstream, what prompts were sent there and not yet begun to be
-/// answered, and which parts of prompts it must still hold.  Chooses the upstream
-/// with the least left to read before this prompt's answer begins; among those that
-/// are about as good, the first in an order that is the same at every daemon
-/// (highest random weight), so that a new leader finds most prompts where the one
-/// before it had them.  Of a set of thousands it looks at those that keep the prompt's
-/// parts and at some that come first for the prompt, so that a choice costs the same
-/// however many upstreams there are.  What it believes may be wrong (another leader, a
-/// restarted upstream) and costs time only.
+/// Records, for each upstream, the prompts that were sent there and whose answers have not
+/// started, and the prompt parts that its cache should still hold.  Chooses the upstream
+/// with the fewest tokens left to read before this prompt's answer starts.  Among upstreams
+/// of about equal cost it takes the first in an order that is the same at every daemon
+/// (highest random weight), so that a new leader finds most prompts where the previous
+/// leader placed them.  In a set of thousands it examines only the upstreams that hold
+/// parts of the prompt and some that rank first for it, so that the cost of a choice does
+/// not depend on the size of the set.  The records may be wrong (another leader, a
+/// restarted upstream); this costs time only.
 class PromptPlacer {
 public:
     explicit PromptPlacer(PolicySwitches switches = {})
@@ -60,84 +61,84 @@
     PromptPlacer(const PromptPlacer&) = delete;
     PromptPlacer& operator=(const PromptPlacer&) = delete;
 
-    /// The chosen upstream, or null.  A reservation counts against the limit that the
-    /// upstream names, if it names one.
+    /// The chosen upstream, or null if none is usable.  A reservation counts against the
+    /// upstream's rate limit, if it has one.
     std::shared_ptr<UpstreamState> place(const UpstreamSet& set, const PromptQuery& query,
                                          Micros now);
 
-    /// What the last reservation costs its upstream, for logs.
-    struct Read {
-        std::int64_t unread = 0; ///< tokens that it must read
-        std::int64_t again = 0; ///< of these, tokens that another upstream keeps
+    /// Cost of the last reservation at its upstream, for logs.
+    struct ReadCost {
+        std::int64_t unread = 0; ///< tokens that the upstream must read
+        std::int64_t reread = 0; ///< of these, tokens that another upstream has cached
     };
-    const Read& last_read() const { return m_last_read; }
-    /// How many upstreams the last choice looked at.
-    std::size_t last_considered() const { return m_last_considered; }
+    const ReadCost& last_read() const { return m_last_read; }
+    /// Number of upstreams that the last choice examined.
+    std::size_t last_candidate_count() const { return m_last_candidate_count; }
 
-    /// The answer began, so the prompt is read.
-    void note_begun(const std::string& attempt);
+    /// The answer started, so the prompt has been read.
+    void on_answer_started(const std::string& attempt);
     /// The answer ended, or the request was cancelled.
-    void note_ended(const std::string& attempt);
-    /// The request could not be given to the upstream chosen for it.
-    void note_unreached(const std::string& attempt, Micros now);
+    void record_ended(const std::string& attempt);
+    /// The request did not reach the upstream chosen for it.
+    void record_unreachable(const std::string& attempt, Micros now);
 
 private:
-    struct KeptPart {
+    struct CachedPart {
         std::int64_t tokens = 0;
         std::list<std::uint64_t>::iterator use;
     };
-    /// What is believed of one upstream.
+    /// Assumed state of one upstream.
     struct Engine {
-        std::int64_t unread = 0; ///< tokens of prompts that were not begun
+        std::int64_t unread = 0; ///< tokens of prompts whose answers have not started
         int running = 0; ///< requests
-        Micros seen_at = 0; ///< among the upstreams of its set
-        std::int64_t kept_tokens = 0;
-        std::unordered_map<std::uint64_t, KeptPart> kept;
-        std::list<std::uint64_t> by_use; ///< last used first
+        Micros seen_at = 0; ///< when it was last examined as an upstream of its set
+        std::int64_t cached_tokens = 0;
+        std::unordered_map<std::uint64_t, CachedPart> cached;
+        std::list<std::uint64_t> lru; ///< most recently used first
         std::weak_ptr<UpstreamState> upstream;
     };
-    struct Placed {
+    struct Placement {
         UpstreamRun run;
         std::int64_t unread = 0;
         Micros at = 0;
         std::string hall; ///< of the upstream
-        std::string from; ///< hall of the daemon that sends it
+        std::string from; ///< hall of the sending daemon
     };
 
     struct Choice {
         std::shared_ptr<UpstreamState> upstream;
         double cost = 0;
         double weight = 0;
-        bool is_near = false; ///< where the rest of what it reads lies, if that counts
-        bool is_avoided = false; ///< failed for others lately
+        bool is_near = false; ///< in the hall of the other inputs, if that matters
+        bool is_avoided = false; ///< recently unreachable for other requests
     };
-    std::vector<UpstreamPtr> considered(const UpstreamSet& set, const PromptQuery& query,
-                                        std::uint64_t key);
+    std::vector<UpstreamPtr> candidates_for(const UpstreamSet& set,
+                                            const PromptQuery& query, std::uint64_t key);
     std::vector<Choice> choices(const std::vector<UpstreamPtr>& upstreams,
                                 const PromptQuery& query, std::uint64_t key, Micros now);
     std::uint64_t key_of(const PromptQuery& query) const;
-    /// Some of the engines that keep most of the prompt.
-    std::vector<Engine*> keepers_of(const PromptQuery& query) const;
-    void keep(Engine& engine, const PrefixPart& part, std::int64_t capacity);
-    void forget_part(Engine& engine, std::uint64_t part);
-    static void leave_out_avoided(std::vector<Choice>& choices);
+    /// At most kMaxHolders engines that hold parts of the prompt, the longest prefix first.
+    std::vector<Engine*> holders_of(const PromptQuery& query) const;
+    void cache_part(Engine& engine, const PrefixPart& part, std::int64_t capacity);
+    void evict_part(Engine& engine, std::uint64_t part);
+    static void drop_avoided(std::vector<Choice>& choices);
     static std::int64_t tokens_to_read(const Engine& engine, const PromptQuery& query);
     double cost(const UpstreamPtr& upstream, const PromptQuery& query, Micros now);
-    std::int64_t tokens_known_elsewhere(const PromptQuery& query,
-                                        std::int64_t unread) const;
+    std::int64_t tokens_cached_elsewhere(const PromptQuery& query,
+                                         std::int64_t unread) const;
     void reserve(const UpstreamState& upstream, const UpstreamSet& set,
                  const PromptQuery& query, Micros now);
     void expire(Micros now);
 
     PolicySwitches m_switches;
     std::unordered_map<UpstreamRun, Engine, UpstreamRunHash> m_engines;
-    std::unordered_map<std::uint64_t, std::unordered_set<Engine*>> m_keepers; ///< by part
+    std::unordered_map<std::uint64_t, std::unordered_set<Engine*>> m_holders; ///< by part
     EngineRing m_ring;
-    std::size_t m_last_considered = 0;
-    std::unordered_map<std::string, Placed> m_placed; ///< by attempt
+    std::size_t m_last_candidate_count = 0;
+    std::unordered_map<std::string, Placement> m_placements; ///< by attempt
     ReachTable m_reach;
     Micros m_expired_at = 0;
-    Read m_last_read;
+    ReadCost m_last_read;
 };
 
 } // namespace cypressford
--- a/src/include/cypressford/reach_table.h
+++ b/src/include/cypressford/reach_table.h
@@ -34,8 +34,8 @@
 
     /// A request from a daemon of hall `from` could not be given to the upstream, or it
     /// showed no sign of it.
-    void note_unreached(const std::string& from, const UpstreamRun& run,
-                        const std::string& hall, Micros now);
+    void record_unreachable(const std::string& from, const UpstreamRun& run,
+                            const std::string& hall, Micros now);
     /// The upstream began to answer a request from a daemon of hall `from`.
     void note_answered(const std::string& from, const UpstreamRun& run,
                        const std::string& hall);
--- a/src/libcypressford/cold_test.cpp
+++ b/src/libcypressford/cold_test.cpp
@@ -150,8 +150,8 @@
             at_cold.push_back(now);
         else
             ++at_warm;
-        placer.note_begun(query.attempt);
-        placer.note_ended(query.attempt);
+        placer.on_answer_started(query.attempt);
+        placer.record_ended(query.attempt);
     }
     CHECK(at_warm > 0);
     CHECK(at_cold.size() >= 10);
--- a/src/libcypressford/engine_ring.cpp
+++ b/src/libcypressford/engine_ring.cpp
@@ -11,13 +11,14 @@
 
 namespace {
 
-/// Of a hall with few upstreams; there may be none in service elsewhere.
-constexpr std::size_t kLeastOfHall = 4;
+/// Minimum from a hall with few upstreams, since those of other halls may be out of
+/// service.
+constexpr std::size_t kMinPerHall = 4;
 
 } // namespace
 
 void
-EngineRing::follow(const UpstreamSet& set)
+EngineRing::update(const UpstreamSet& set)
 {
     if (m_revision == set.revision && m_revision != 0)
         return;
@@ -35,13 +36,14 @@
 }
 
 std::vector<UpstreamPtr>
-EngineRing::first_for(std::uint64_t key, std::size_t most) const
+EngineRing::first_for(std::uint64_t key, std::size_t limit) const
 {
     std::vector<UpstreamPtr> first;
     const std::uint64_t place = mix(key);
     for (const auto& [hall, ring] : m_halls) {
-        const std::size_t part = most * ring.size() / std::max<std::size_t>(1, m_upstreams);
-        const std::size_t count = std::min(ring.size(), std::max(part, kLeastOfHall));
+        const std::size_t part
+            = limit * ring.size() / std::max<std::size_t>(1, m_upstreams);
+        const std::size_t count = std::min(ring.size(), std::max(part, kMinPerHall));
         auto at = std::lower_bound(
             ring.begin(), ring.end(), place,
             [](const auto& item, std::uint64_t hash) { return item.first < hash; });
--- a/src/libcypressford/piece_order.cpp
+++ b/src/libcypressford/piece_order.cpp
@@ -32,7 +32,7 @@
 
 namespace {
 
-/// Absent where all halls are allowed.
+/// Leaves the field absent if all halls are allowed.
 template <class Message>
 void
 write_halls(const HallLimit& limit, Message& out)
@@ -64,7 +64,7 @@
     out.set_due_ms(static_cast<std::int32_t>(order.due_left / kMillisecond));
     out.set_near(order.near);
     out.set_result_bytes(order.result_bytes);
-    out.set_again(order.again);
+    out.set_again(order.is_retry);
     write_halls(order.halls, out);
     for (const PieceItem& item : order.pieces) {
         proto::PieceWanted* piece = out.add_pieces();
@@ -83,7 +83,7 @@
 {
     proto::PieceOrder in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not an order of pieces");
+        return fail(ErrorKind::BadRequest, "malformed piece order");
     PieceOrder order;
     order.upstream_set = in.upstream_set();
     order.priority = in.priority();
@@ -91,7 +91,7 @@
     order.due_left = in.due_ms() * kMillisecond;
     order.near = in.near();
     order.result_bytes = in.result_bytes();
-    order.again = in.again();
+    order.is_retry = in.again();
     order.halls = read_halls(in);
     for (const proto::PieceWanted& piece : in.pieces()) {
         PieceItem item;
@@ -112,11 +112,11 @@
     out.set_upstream_set(releases.upstream_set);
     for (const std::string& handle : releases.handles)
         out.add_handles(handle);
-    for (const std::string& attempt : releases.begun)
+    for (const std::string& attempt : releases.started)
         out.add_begun(attempt);
     for (const std::string& attempt : releases.ended)
         out.add_ended(attempt);
-    for (const std::string& attempt : releases.unreached)
+    for (const std::string& attempt : releases.unreachable)
         out.add_unreached(attempt);
     return out.SerializeAsString();
 }
@@ -126,7 +126,7 @@
 {
     proto::Releases in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not a list of results");
+        return fail(ErrorKind::BadRequest, "malformed list of releases");
     return Releases {in.upstream_set(),
                      {in.handles().begin(), in.handles().end()},
                      {in.begun().begin(), in.begun().end()},
@@ -149,7 +149,7 @@
     }
 }
 
-/// Words that make no sense are left out.
+/// Skips reports with invalid values, and those beyond kMaxLimitWords.
 template <class Message>
 LimitWords
 read_limits(const Message& in)
@@ -197,7 +197,7 @@
 {
     proto::PlaceQuery in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not a question about a prompt");
+        return fail(ErrorKind::BadRequest, "malformed prompt placement query");
     PlaceQuery query;
     query.upstream_set = in.upstream_set();
     query.prompt.attempt = in.attempt();
@@ -232,7 +232,7 @@
 {
     proto::PlaceAnswer in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not an answer about a prompt");
+        return fail(ErrorKind::BadRequest, "malformed prompt placement answer");
     return PlaceAnswer {in.identity(), in.hall(), in.counted(), read_limits(in)};
 }
 
@@ -255,7 +255,7 @@
 {
     proto::PieceAnswer in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not an answer about pieces");
+        return fail(ErrorKind::BadRequest, "malformed answer to a piece order");
     PieceAnswer answer;
     answer.expected_wait = in.expected_wait_ms() * kMillisecond;
     for (const proto::PieceMade& piece : in.pieces()) {
--- a/src/libcypressford/piece_plan.cpp
+++ b/src/libcypressford/piece_plan.cpp
@@ -32,24 +32,25 @@
     std::vector<std::size_t> ready;
     for (std::size_t at = 0; at < m_stages.size(); ++at) {
         Stage& stage = m_stages[at];
-        if (m_counts[at] == 0 || stage.given_out || !is_ready(stage))
+        if (m_counts[at] == 0 || stage.dispatched || !is_ready(stage))
             continue;
-        stage.given_out = true;
+        stage.dispatched = true;
         ready.push_back(at);
     }
     return ready;
 }
 
-/// How much later each stage could start without delaying the request: the longest
-/// path through all stages, less the longest one through that stage (critical path
+/// By how much each stage could start later without delaying the request: the longest
+/// path through all stages, less the longest path through that stage (critical path
 /// method).
 std::vector<Micros>
-PiecePlan::slack_of_stages(const std::vector<Micros>& left) const
+PiecePlan::slack_by_stage(const std::vector<Micros>& left) const
 {
     const std::size_t count = m_stages.size();
-    std::vector<Micros> end(count, 0); // of each stage, if all start as early as they can
+    std::vector<Micros> end(count, 0); // of each stage, if all start as early as possible
     std::vector<Micros> after_end(count, 0); // from its end to the end of the last reader
-    // The stages may stand in any order, so a pass for each settles all of them.
+    // Stages may be listed in any order, so `count` passes are needed to settle all of
+    // them.
     for (std::size_t pass = 0; pass < count; ++pass)
         for (std::size_t at = 0; at < count; ++at) {
             if (m_counts[at] == 0)
@@ -71,14 +72,14 @@
 ReadyStages
 PiecePlan::take_due(const std::vector<Micros>& left, Micros tolerance)
 {
-    const std::vector<Micros> slack = slack_of_stages(left);
+    const std::vector<Micros> slack = slack_by_stage(left);
     ReadyStages result;
     for (std::size_t at = 0; at < m_stages.size(); ++at) {
         Stage& stage = m_stages[at];
-        if (m_counts[at] == 0 || stage.given_out || !is_ready(stage))
+        if (m_counts[at] == 0 || stage.dispatched || !is_ready(stage))
             continue;
         if (slack[at] <= tolerance) {
-            stage.given_out = true;
+            stage.dispatched = true;
             result.now.push_back(at);
         } else {
             result.next_in = std::min(slack[at], result.next_in.value_or(slack[at]));
@@ -98,7 +99,7 @@
 }
 
 void
-PiecePlan::stage_made(std::size_t stage, std::vector<std::string> handles)
+PiecePlan::set_stage_results(std::size_t stage, std::vector<std::string> handles)
 {
     m_stages[stage].made = true;
     m_stages[stage].handles = std::move(handles);
@@ -206,7 +207,8 @@
 {
     const auto& stages = pipeline.spec.piece_stages;
     std::vector<Micros> finish(stages.size(), 0);
-    // The stages may stand in any order, so a pass for each settles all of them.
+    // Stages may be listed in any order, so a pass for each is needed to settle all of
+    // them.
     for (std::size_t pass = 0; pass < stages.size(); ++pass)
         for (std::size_t at = 0; at < stages.size(); ++at) {
             if (counts[at] == 0)
--- a/src/libcypressford/piece_queue.cpp
+++ b/src/libcypressford/piece_queue.cpp
@@ -12,15 +12,14 @@
 
 namespace {
 
-/// A piece waits for an upstream of its hall no longer than this part of the time
-/// that it may wait at all.
-constexpr Micros kHallWaitPartOfSlack = 3;
+/// A piece waits for an upstream of its hall for at most its slack divided by this.
+constexpr Micros kHallWaitSlackDivisor = 3;
 constexpr Micros kFirstBackOff = 400 * kMillisecond;
 constexpr int kMaxBackOffDoublings = 4;
-/// Pieces that a search for a match looks at.
-constexpr int kMaxLookedAt = 64;
-/// Longer waits (us) are told as this: no request has so much time.
-constexpr double kLongestWait = 3600.0 * kSecond;
+/// Pieces that a search for a match examines at most.
+constexpr int kMaxExamined = 64;
+/// Upper bound of reported waits (us); longer than any request's deadline.
+constexpr double kMaxReportedWaitUs = 3600.0 * kSecond;
 
 } // namespace
 
@@ -33,9 +32,9 @@
     ++m_group_sizes[piece.group];
 }
 
-/// To be called when the piece has left its tier.
+/// Removes the piece's records; it must have been removed from m_waiting before.
 void
-PieceQueue::forget(PieceId id)
+PieceQueue::erase(PieceId id)
 {
     const auto it = m_by_id.find(id);
     const auto group = m_group_sizes.find(it->second.group);
@@ -52,12 +51,12 @@
     if (it == m_by_id.end())
         return false;
     m_waiting.erase(rank_of(it->second));
-    forget(id);
+    erase(id);
     return true;
 }
 
 void
-PieceQueue::move_late(Micros now)
+PieceQueue::demote_late(Micros now)
 {
     if (!m_switches.uses(Mechanism::LateTier))
         return;
@@ -114,11 +113,11 @@
     if (piece.near.empty() || !set.spec.batch)
         return 0;
     const Micros slack = std::max<Micros>(0, piece.due - piece.queued_at);
-    return std::min(full_call_time(set.spec), slack / kHallWaitPartOfSlack);
+    return std::min(full_call_time(set.spec), slack / kHallWaitSlackDivisor);
 }
 
-/// True while the piece should go to its hall only; a hall without an upstream that
-/// is usable is not waited for.
+/// True while the piece should go to its own hall only.  Does not wait for a hall without
+/// a usable upstream.
 bool
 PieceQueue::waits_for_hall(const WaitingPiece& piece, const UpstreamSet& set,
                            Micros now) const
@@ -140,9 +139,9 @@
     return m_memory.free_bytes(upstream, set.spec.batch.value_or(BatchSpec {}), now);
 }
 
-/// When a result of a call that starts now is gone for sure.
+/// Latest time at which a result of a call that starts now expires.
 Micros
-PieceQueue::kept_until(const UpstreamSet& set, Micros now)
+PieceQueue::result_expiry(const UpstreamSet& set, Micros now)
 {
     const Micros keep_time = set.spec.batch ? set.spec.batch->keep_time : 0;
     return now + full_call_time(set.spec) + keep_time;
@@ -152,12 +151,12 @@
 PieceQueue::upstream_for(const WaitingPiece& piece, const Upstreams& free,
                          const UpstreamSet& set, bool saturated, Micros now)
 {
-    const bool patient = !saturated && waits_for_hall(piece, set, now);
+    const bool must_wait = !saturated && waits_for_hall(piece, set, now);
     std::shared_ptr<UpstreamState> any;
-    // In turn, so that results spread over the upstreams' memory.
-    ++m_turn;
+    // Round robin, so that results spread over the upstreams' memory.
+    ++m_rotation;
     for (std::size_t i = 0; i < free.size(); ++i) {
-        const auto& [upstream, memory] = free[(m_turn + i) % free.size()];
+        const auto& [upstream, memory] = free[(m_rotation + i) % free.size()];
         if (memory < piece.result_bytes || !piece.halls.allows(upstream->hall))
             continue;
         if (upstream->hall == piece.near)
@@ -165,27 +164,27 @@
         if (!any)
             any = upstream;
     }
-    return patient ? nullptr : any;
+    return must_wait ? nullptr : any;
 }
 
 std::shared_ptr<UpstreamState>
 PieceQueue::choose(const Upstreams& free, const UpstreamSet& set, bool saturated,
                    Micros now)
 {
-    int looked_at = 0;
-    const WaitingPiece* without
-        = nullptr; ///< found none; the rest of its group wants the same
+    int examined = 0;
+    /// Found no upstream; the other pieces of its group have the same requirements.
+    const WaitingPiece* unplaced = nullptr;
     for (const Rank& rank : m_waiting) {
-        if (++looked_at > kMaxLookedAt)
+        if (++examined > kMaxExamined)
             break;
         const WaitingPiece& piece = m_by_id.at(rank.id);
-        const bool is_alike = without && piece.group == without->group
-            && piece.queued_at == without->queued_at;
-        if (is_alike)
+        const bool is_same_group = unplaced && piece.group == unplaced->group
+            && piece.queued_at == unplaced->queued_at;
+        if (is_same_group)
             continue;
         if (auto upstream = upstream_for(piece, free, set, saturated, now))
             return upstream;
-        without = &piece;
+        unplaced = &piece;
     }
     return nullptr;
 }
@@ -207,7 +206,7 @@
     const auto items = static_cast<std::size_t>(set.spec.batch ? set.spec.batch->items : 1);
     std::int64_t memory = free_memory(*call.upstream, set, now);
     rule.split = rule.split || !m_switches.uses(Mechanism::WholeGroups);
-    PieceId taking = 0; ///< group that is being taken
+    PieceId taking = 0; ///< group of which pieces are being added
     for (auto it = m_waiting.begin();
          it != m_waiting.end() && call.pieces.size() < items;) {
         const WaitingPiece& piece = m_by_id.at(it->id);
@@ -216,48 +215,49 @@
         const std::size_t group = m_group_sizes.at(piece.group);
         const bool goes_whole = group <= items - call.pieces.size()
             && static_cast<std::int64_t>(group) * piece.result_bytes <= memory;
-        // A group that is larger than a call can't stay together.
+        // A group larger than a call cannot stay together.
         const bool too_large = group > items && call.pieces.empty();
-        const bool begun = piece.group == taking || goes_whole || too_large;
-        const bool fits = begun || rule.split;
+        const bool started = piece.group == taking || goes_whole || too_large;
+        const bool fits = started || rule.split;
         const bool allowed = piece.halls.allows(call.upstream->hall);
         if (!allowed || !fits_hall || !fits || piece.result_bytes > memory) {
             ++it;
             continue;
         }
-        if (begun)
+        if (started)
             taking = piece.group;
         memory -= piece.result_bytes;
-        m_memory.take(*call.upstream, it->id, piece.result_bytes, kept_until(set, now));
+        m_memory.reserve(*call.upstream, it->id, piece.result_bytes,
+                         result_expiry(set, now));
         call.pieces.push_back(it->id);
-        forget(it->id);
+        erase(it->id);
         it = m_waiting.erase(it);
     }
 }
 
-LeftBehind
-PieceQueue::left_behind(const PieceCall& call, const UpstreamSet& set, Micros now)
+SkippedPieces
+PieceQueue::count_skipped(const PieceCall& call, const UpstreamSet& set, Micros now)
 {
-    LeftBehind left;
+    SkippedPieces skipped;
     const auto items = static_cast<std::size_t>(set.spec.batch ? set.spec.batch->items : 1);
     if (call.pieces.size() >= items)
-        return left;
+        return skipped;
     const std::int64_t memory = free_memory(*call.upstream, set, now);
-    int looked_at = 0;
+    int examined = 0;
     for (const auto& [id, piece] : m_by_id) {
-        if (++looked_at > kMaxLookedAt)
+        if (++examined > kMaxExamined)
             break;
         if (piece.result_bytes > memory)
-            ++left.memory;
+            ++skipped.memory;
         else if (piece.near != call.upstream->hall && waits_for_hall(piece, set, now))
-            ++left.hall;
+            ++skipped.hall;
         else
-            ++left.group;
+            ++skipped.group;
     }
-    return left;
+    return skipped;
 }
 
-/// One group, the least urgent of those that wait: it may well be lost time.
+/// Takes the least urgent waiting group, since a probe call is likely to fail.
 void
 PieceQueue::take_probe(PieceCall& call, const UpstreamSet& set, Micros now)
 {
@@ -270,9 +270,10 @@
             ++it;
             continue;
         }
-        m_memory.take(*call.upstream, it->id, piece.result_bytes, kept_until(set, now));
+        m_memory.reserve(*call.upstream, it->id, piece.result_bytes,
+                         result_expiry(set, now));
         call.pieces.push_back(it->id);
-        forget(it->id);
+        erase(it->id);
         it = m_waiting.erase(it);
     }
 }
@@ -282,7 +283,7 @@
 {
     if (m_by_id.empty())
         return std::nullopt;
-    move_late(now);
+    demote_late(now);
     const Upstreams free = free_upstreams(set, now);
     if (free.empty())
         return std::nullopt;
@@ -297,7 +298,7 @@
         fill(call, set, {false, false}, now);
         if (saturated || call.pieces.empty())
             fill(call, set, {saturated, true}, now);
-        call.left = left_behind(call, set, now);
+        call.skipped = count_skipped(call, set, now);
     }
     if (call.pieces.empty())
         return std::nullopt;
@@ -308,10 +309,10 @@
 
 namespace {
 
-/// Upstreams that are usable, where one that names a limit counts as the part of one that
-/// its calls a second make.
+/// Number of usable upstreams; an upstream with a rate limit counts as the fraction of one
+/// that its permitted calls a second amount to.
 double
-usable_as_free(const UpstreamSet& set, Micros now)
+usable_capacity(const UpstreamSet& set, Micros now)
 {
     const double call_s = static_cast<double>(full_call_time(set.spec)) / kSecond;
     double sum = 0;
@@ -332,19 +333,19 @@
 PieceQueue::expected_wait(const UpstreamSet& set, int priority, Micros now) const
 {
     const BatchSpec batch = set.spec.batch.value_or(BatchSpec {});
-    const Micros rest = time_to_first_usable(set, now, {}, RatePart::Granted);
-    const double usable = usable_as_free(set, now + rest);
+    const Micros backoff = time_to_first_usable(set, now, {}, RatePart::Granted);
+    const double usable = usable_capacity(set, now + backoff);
     if (usable <= 0)
         return kSecond;
-    // Less urgent pieces, and late ones of its priority, wait behind it.
+    // Less urgent pieces, and late pieces of the same priority, wait behind the new piece.
     const auto ahead_end = m_waiting.lower_bound({priority, true, 0, 0});
     const auto ahead = static_cast<Micros>(std::distance(m_waiting.begin(), ahead_end));
     if (ahead == 0 && has_free_upstream(set, now))
         return 0;
     const auto full_call = static_cast<double>(full_call_time(set.spec));
     const double calls_ahead = 0.5 + static_cast<double>(ahead) / std::max(1, batch.items);
-    const double wait = std::min(calls_ahead * full_call / usable, kLongestWait);
-    return rest + static_cast<Micros>(wait);
+    const double wait = std::min(calls_ahead * full_call / usable, kMaxReportedWaitUs);
+    return backoff + static_cast<Micros>(wait);
 }
 
 std::vector<PieceId>
@@ -352,7 +353,7 @@
 {
     if (!m_switches.uses(Mechanism::DropLatePieces))
         return {};
-    move_late(now);
+    demote_late(now);
     const Micros full_call = full_call_time(set.spec);
     std::vector<PieceId> overdue;
     for (const Rank& rank : m_waiting) {
@@ -368,7 +369,7 @@
 }
 
 void
-PieceQueue::note_failure(const UpstreamState& upstream, Micros now)
+PieceQueue::record_failure(const UpstreamState& upstream, Micros now)
 {
     const int before = m_failures[&upstream]++;
     m_backed_off[&upstream]
--- a/src/libcypressford/prompt_placer.cpp
+++ b/src/libcypressford/prompt_placer.cpp
@@ -15,39 +15,42 @@
 
 namespace {
 
-/// Bytes that cross between halls weigh as much as one token that is read again: 1.5 MB
-/// as much as a shared prompt of 500 tokens.
-constexpr double kBytesOfToken = 3000;
-/// An answer whose upstream is in another hall than its caller's daemon weighs as much,
-/// whatever else it reads.
-constexpr double kTokensOfOtherHall = 64;
+/// Bytes that cross between halls and cost as much as one token that is read again: 1.5 MB
+/// cost as much as a shared prompt of 500 tokens.
+constexpr double kBytesPerToken = 3000;
+/// Cost of an answer whose upstream is in another hall than its caller's daemon, regardless
+/// of other inputs.
+constexpr double kOtherHallCostTokens = 64;
 /// A running answer slows the reading of prompts by about this many tokens.
-constexpr double kTokensOfRunning = 48;
-/// Parts are believed to be kept in this part of an upstream's memory; the rest is
-/// taken by answers that run.
-constexpr double kKeptPart = 0.6;
-/// An upstream is about as good as the best if it costs no more than this part of
-/// the prompt's shared tokens in addition.
-constexpr double kToleratedPart = 1.5;
-/// Or no more than these: short prompts leave their upstream only when it is busy.
+constexpr double kRunningAnswerCostTokens = 48;
+/// Fraction of an upstream's memory that is assumed to hold prompt parts; the rest is used
+/// by running answers.
+constexpr double kCacheFraction = 0.6;
+/// An upstream is considered equivalent to the cheapest if its extra cost is at most this
+/// multiple of the prompt's shared tokens.
+constexpr double kToleratedMultiple = 1.5;
+/// Extra cost that is tolerated in any case, so that short prompts leave their upstream
+/// only when it is busy.
 constexpr double kToleratedTokens = 1500;
-/// A hall without upstreams for pieces counts as having this part of them.
-constexpr double kLeastPart = 0.02;
-/// Upstreams that failed for others are avoided while at least this part of those that are
-/// usable is left; otherwise the fault is the teller's: one hall of six is enough to go on.
-constexpr double kLeastPartLeft = 0.16;
-/// Of a set of at most so many upstreams all are looked at ...
-constexpr std::size_t kConsideredWhole = 256;
-/// ... of a larger one about so many that come first for the prompt, ...
-constexpr std::size_t kConsideredOfMany = 64;
-/// ... and so many that keep parts of it.
-constexpr std::size_t kMostKeepers = 32;
-/// Without a word of it, a request is forgotten after this time.
-constexpr Micros kForgetAfter = 15 * kSecond;
-/// An engine that was not among the upstreams for so long has ended: what it kept is gone.
-/// Longer than evacuations and outages after which the same run is there again.
-constexpr Micros kForgetEngineAfter = 120 * kSecond;
-constexpr Micros kExpirePace = 1 * kSecond;
+/// Fraction assumed for a hall without upstreams for pieces.
+constexpr double kMinHallFraction = 0.02;
+/// Upstreams that were unreachable for other requests are avoided only while at least this
+/// fraction of the usable upstreams is left; otherwise the fault is assumed to be the
+/// reporter's.  One hall of six is enough to go on.
+constexpr double kMinUnavoidedFraction = 0.16;
+/// In a set of at most this many upstreams, all are examined.
+constexpr std::size_t kMaxExaminedWhole = 256;
+/// In a larger set, about this many upstreams that rank first for the prompt are examined.
+constexpr std::size_t kExaminedFirst = 64;
+/// Upstreams that hold parts of the prompt: at most this many are examined as well.
+constexpr std::size_t kMaxHolders = 32;
+/// A placement without a further report is dropped after this time.
+constexpr Micros kPlacementTimeout = 15 * kSecond;
+/// An engine that was not among the upstreams for this long is assumed to have ended, with
+/// the loss of its cache.  Longer than evacuations and outages after which the same run
+/// returns.
+constexpr Micros kEngineTimeout = 120 * kSecond;
+constexpr Micros kExpiryInterval = 1 * kSecond;
 
 /// Weight of an upstream in weighted rendezvous hashing (Schindelhauer and
 /// Schomaker, 2005); the highest is preferred.
@@ -60,10 +63,10 @@
     if (query.hall_parts.empty())
         return std::log(hash);
     const double weight = part == query.hall_parts.end() ? 0 : part->second;
-    return std::log(hash) / std::max(weight, kLeastPart);
+    return std::log(hash) / std::max(weight, kMinHallFraction);
 }
 
-/// Tokens that other prompts share, if nothing is known of them.
+/// Tokens that the prompt may share with others: all but its last part.
 double
 shared_tokens(const PromptQuery& query)
 {
@@ -72,64 +75,64 @@
     return static_cast<double>(query.tokens - query.parts.back().tokens);
 }
 
-/// What it costs to answer in another hall than the preferred one, in tokens.
+/// Cost in tokens of an answer in another hall than the preferred one.
 double
 crossing_weight(const PromptQuery& query)
 {
     if (query.near.empty())
         return 0;
-    return kTokensOfOtherHall + static_cast<double>(query.near_bytes) / kBytesOfToken;
+    return kOtherHallCostTokens + static_cast<double>(query.near_bytes) / kBytesPerToken;
 }
 
-/// How much more than the least costly upstream one may cost.
+/// Tokens by which an upstream's cost may exceed the lowest cost.
 double
 tolerated(const PromptQuery& query)
 {
-    return std::max(kToleratedTokens, kToleratedPart * shared_tokens(query));
+    return std::max(kToleratedTokens, kToleratedMultiple * shared_tokens(query));
 }
 
 } // namespace
 
 void
-PromptPlacer::keep(Engine& engine, const PrefixPart& part, std::int64_t capacity)
+PromptPlacer::cache_part(Engine& engine, const PrefixPart& part, std::int64_t capacity)
 {
-    const auto it = engine.kept.find(part.id);
-    if (it != engine.kept.end()) {
-        engine.by_use.splice(engine.by_use.begin(), engine.by_use, it->second.use);
+    const auto it = engine.cached.find(part.id);
+    if (it != engine.cached.end()) {
+        engine.lru.splice(engine.lru.begin(), engine.lru, it->second.use);
         return;
     }
-    engine.by_use.push_front(part.id);
-    engine.kept[part.id] = {part.tokens, engine.by_use.begin()};
-    engine.kept_tokens += part.tokens;
-    m_keepers[part.id].insert(&engine);
-    while (engine.kept_tokens > capacity && engine.by_use.size() > 1)
-        forget_part(engine, engine.by_use.back());
+    engine.lru.push_front(part.id);
+    engine.cached[part.id] = {part.tokens, engine.lru.begin()};
+    engine.cached_tokens += part.tokens;
+    m_holders[part.id].insert(&engine);
+    while (engine.cached_tokens > capacity && engine.lru.size() > 1)
+        evict_part(engine, engine.lru.back());
 }
 
 void
-PromptPlacer::forget_part(Engine& engine, std::uint64_t part)
+PromptPlacer::evict_part(Engine& engine, std::uint64_t part)
 {
-    const auto it = engine.kept.find(part);
-    engine.kept_tokens -= it->second.tokens;
-    engine.by_use.erase(it->second.use);
-    engine.kept.erase(it);
-    const auto keepers = m_keepers.find(part);
-    keepers->second.erase(&engine);
-    if (keepers->second.empty())
-        m_keepers.erase(keepers);
+    const auto it = engine.cached.find(part);
+    engine.cached_tokens -= it->second.tokens;
+    engine.lru.erase(it->second.use);
+    engine.cached.erase(it);
+    const auto holders = m_holders.find(part);
+    holders->second.erase(&engine);
+    if (holders->second.empty())
+        m_holders.erase(holders);
 }
 
 std::vector<PromptPlacer::Engine*>
-PromptPlacer::keepers_of(const PromptQuery& query) const
+PromptPlacer::holders_of(const PromptQuery& query) const
 {
     std::vector<Engine*> result;
-    // Whoever keeps a late part keeps those before it, too.
+    // Engines that hold a late part also hold the parts before it.
     for (auto part = query.parts.rbegin(); part != query.parts.rend(); ++part) {
-        const auto keepers = m_keepers.find(part->id);
-        if (keepers == m_keepers.end())
+        const auto holders = m_holders.find(part->id);
+        if (holders == m_holders.end())
             continue;
-        for (Engine* engine : keepers->second) {
-            if (result.size() >= kMostKeepers)
+        for (Engine* engine : holders->second) {
+            if (result.size() >= kMaxHolders)
                 return result;
             result.push_back(engine);
         }
@@ -142,7 +145,7 @@
 {
     std::int64_t tokens = query.tokens;
     for (const PrefixPart& part : query.parts) {
-        if (!engine.kept.contains(part.id))
+        if (!engine.cached.contains(part.id))
             break;
         tokens -= part.tokens;
     }
@@ -157,7 +160,7 @@
     if (engine.upstream.expired())
         engine.upstream = upstream;
     double tokens = static_cast<double>(engine.unread + tokens_to_read(engine, query));
-    tokens += kTokensOfRunning * engine.running;
+    tokens += kRunningAnswerCostTokens * engine.running;
     return tokens;
 }
 
@@ -170,21 +173,21 @@
 }
 
 std::vector<UpstreamPtr>
-PromptPlacer::considered(const UpstreamSet& set, const PromptQuery& query,
-                         std::uint64_t key)
+PromptPlacer::candidates_for(const UpstreamSet& set, const PromptQuery& query,
+                             std::uint64_t key)
 {
     std::vector<UpstreamPtr> upstreams;
-    if (set.own.size() + set.remote.size() <= kConsideredWhole) {
+    if (set.own.size() + set.remote.size() <= kMaxExaminedWhole) {
         for (const auto* side : {&set.own, &set.remote})
             upstreams.insert(upstreams.end(), side->begin(), side->end());
         return upstreams;
     }
-    m_ring.follow(set);
-    upstreams = m_ring.first_for(key, kConsideredOfMany);
-    for (const Engine* engine : keepers_of(query))
+    m_ring.update(set);
+    upstreams = m_ring.first_for(key, kExaminedFirst);
+    for (const Engine* engine : holders_of(query))
         if (UpstreamPtr upstream = engine->upstream.lock())
             upstreams.push_back(std::move(upstream));
-    // One that comes first may keep parts, too.
+    // An upstream that ranks first may hold parts, too.
     std::sort(upstreams.begin(), upstreams.end());
     upstreams.erase(std::unique(upstreams.begin(), upstreams.end()), upstreams.end());
     return upstreams;
@@ -195,7 +198,7 @@
                       std::uint64_t key, Micros now)
 {
     std::vector<Choice> result;
-    m_last_considered = upstreams.size();
+    m_last_candidate_count = upstreams.size();
     const bool keeps_near = m_switches.uses(Mechanism::NearResults)
         && crossing_weight(query) > shared_tokens(query);
     const std::unordered_set<std::string_view> avoided(query.avoid.begin(),
@@ -204,8 +207,8 @@
         if (!is_in_service(*upstream, now) || avoided.contains(upstream->identity)
             || !query.halls.allows(upstream->hall))
             continue;
-        // An engine that is cold or names a limit takes what it bears; the others go on
-        // to the rest.
+        // An engine that is cold or has a rate limit receives what it can take; further
+        // prompts go to the other engines.
         if (upstream->cold.is_cold(now) && !upstream->cold.may_grant(now))
             continue;
         if (upstream->said->limit().opens_at(RatePart::Granted) > now)
@@ -216,17 +219,17 @@
         result.push_back({upstream, cost(upstream, query, now),
                           weight_of(*upstream, query, key), is_near, is_avoided});
     }
-    leave_out_avoided(result);
+    drop_avoided(result);
     return result;
 }
 
 void
-PromptPlacer::leave_out_avoided(std::vector<Choice>& choices)
+PromptPlacer::drop_avoided(std::vector<Choice>& choices)
 {
     const auto is_avoided = [](const Choice& choice) { return choice.is_avoided; };
     const auto avoided = std::count_if(choices.begin(), choices.end(), is_avoided);
     const auto left = static_cast<double>(choices.size()) - static_cast<double>(avoided);
-    if (left >= kLeastPartLeft * static_cast<double>(choices.size()))
+    if (left >= kMinUnavoidedFraction * static_cast<double>(choices.size()))
         std::erase_if(choices, is_avoided);
 }
 
@@ -235,17 +238,18 @@
 {
     expire(now);
     const std::uint64_t key = key_of(query);
-    std::vector<Choice> all = choices(considered(set, query, key), query, key, now);
+    std::vector<Choice> all = choices(candidates_for(set, query, key), query, key, now);
     if (all.empty()) {
-        // None of a few can be used; any other will do.
+        // None of the few examined can be used; fall back to the whole set.
         std::vector<UpstreamPtr> whole(set.own.begin(), set.own.end());
         whole.insert(whole.end(), set.remote.begin(), set.remote.end());
         all = choices(whole, query, key, now);
     }
     if (all.empty())
         return nullptr;
-    const auto cheaper = [](const Choice& a, const Choice& b) { return a.cost < b.cost; };
-    const double limit = std::min_element(all.begin(), all.end(), cheaper)->cost
+    const auto is_cheaper
+        = [](const Choice& a, const Choice& b) { return a.cost < b.cost; };
+    const double limit = std::min_element(all.begin(), all.end(), is_cheaper)->cost
         + (m_switches.uses(Mechanism::ToleratedCost) ? tolerated(query) : 0);
     const Choice* best = nullptr;
     const auto is_better = [&](const Choice& choice) {
@@ -265,12 +269,12 @@
     return best->upstream;
 }
 
-/// Tokens of those to be read that some other engine keeps.
+/// Of the tokens to be read, those that another engine has cached.
 std::int64_t
-PromptPlacer::tokens_known_elsewhere(const PromptQuery& query, std::int64_t unread) const
+PromptPlacer::tokens_cached_elsewhere(const PromptQuery& query, std::int64_t unread) const
 {
     std::int64_t least = unread;
-    for (const Engine* engine : keepers_of(query))
+    for (const Engine* engine : holders_of(query))
         least = std::min(least, tokens_to_read(*engine, query));
     return unread - least;
 }
@@ -279,73 +283,73 @@
 PromptPlacer::reserve(const UpstreamState& upstream, const UpstreamSet& set,
                       const PromptQuery& query, Micros now)
 {
-    note_ended(query.attempt);
+    record_ended(query.attempt);
     Engine& engine = m_engines[upstream.run()];
     const std::int64_t unread = tokens_to_read(engine, query);
-    m_last_read = {unread, tokens_known_elsewhere(query, unread)};
+    m_last_read = {unread, tokens_cached_elsewhere(query, unread)};
     engine.unread += unread;
     ++engine.running;
-    m_placed[query.attempt] = {upstream.run(), unread, now, upstream.hall, query.from};
+    m_placements[query.attempt] = {upstream.run(), unread, now, upstream.hall, query.from};
     m_reach.note_sent(query.from, upstream.run(), upstream.hall, now);
     const auto capacity = static_cast<std::int64_t>(
-        kKeptPart * static_cast<double>(set.spec.memory_tokens));
+        kCacheFraction * static_cast<double>(set.spec.memory_tokens));
     for (const PrefixPart& part : query.parts)
-        keep(engine, part, capacity);
+        cache_part(engine, part, capacity);
 }
 
 void
-PromptPlacer::note_begun(const std::string& attempt)
+PromptPlacer::on_answer_started(const std::string& attempt)
 {
-    const auto it = m_placed.find(attempt);
-    if (it == m_placed.end())
+    const auto it = m_placements.find(attempt);
+    if (it == m_placements.end())
         return;
-    Placed& placed = it->second;
+    Placement& placed = it->second;
     m_engines[placed.run].unread -= placed.unread;
     placed.unread = 0;
     m_reach.note_answered(placed.from, placed.run, placed.hall);
 }
 
 void
-PromptPlacer::note_unreached(const std::string& attempt, Micros now)
+PromptPlacer::record_unreachable(const std::string& attempt, Micros now)
 {
-    const auto it = m_placed.find(attempt);
-    if (it == m_placed.end())
+    const auto it = m_placements.find(attempt);
+    if (it == m_placements.end())
         return;
-    const Placed& placed = it->second;
-    m_reach.note_unreached(placed.from, placed.run, placed.hall, now);
-    // It goes elsewhere now: its answer says nothing of this upstream.
-    note_ended(attempt);
+    const Placement& placed = it->second;
+    m_reach.record_unreachable(placed.from, placed.run, placed.hall, now);
+    // The request is sent elsewhere now; its answer says nothing about this upstream.
+    record_ended(attempt);
 }
 
 void
-PromptPlacer::note_ended(const std::string& attempt)
+PromptPlacer::record_ended(const std::string& attempt)
 {
-    const auto it = m_placed.find(attempt);
-    if (it == m_placed.end())
+    const auto it = m_placements.find(attempt);
+    if (it == m_placements.end())
         return;
     Engine& engine = m_engines[it->second.run];
     engine.unread -= it->second.unread;
     --engine.running;
-    m_placed.erase(it);
+    m_placements.erase(it);
 }
 
 void
 PromptPlacer::expire(Micros now)
 {
-    if (now - m_expired_at < kExpirePace)
+    if (now - m_expired_at < kExpiryInterval)
         return;
     m_expired_at = now;
-    std::vector<std::string> over;
-    for (const auto& [attempt, placed] : m_placed)
-        if (now - placed.at > kForgetAfter)
-            over.push_back(attempt);
-    for (const std::string& attempt : over)
-        note_ended(attempt);
+    std::vector<std::string> expired;
+    for (const auto& [attempt, placed] : m_placements)
+        if (now - placed.at > kPlacementTimeout)
+            expired.push_back(attempt);
+    for (const std::string& attempt : expired)
+        record_ended(attempt);
     for (auto item = m_engines.begin(); item != m_engines.end();) {
         Engine& engine = item->second;
-        const bool ended = engine.running <= 0 && now - engine.seen_at > kForgetEngineAfter;
-        while (ended && !engine.by_use.empty())
-            forget_part(engine, engine.by_use.back());
+        const bool ended = engine.running <= 0 && now - engine.seen_at > kEngineTimeout;
+        while (ended && !engine.lru.empty())
+            evict_part(engine, engine.lru.back());
         item = ended ? m_engines.erase(item) : std::next(item);
     }
 }
--- a/src/libcypressford/prompt_placer_load_test.cpp
+++ b/src/libcypressford/prompt_placer_load_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Prompts at sets of hundreds and thousands of engines: what a choice looks at, whether a
-/// prompt finds what it left, and how evenly the load lies.
+/// Prompts at sets of hundreds and thousands of engines: the number of engines examined,
+/// cache hits, and the distribution of the load.
 
 #include <algorithm>
 #include <map>
@@ -50,9 +50,9 @@
     return query;
 }
 
-TEST_CASE("a choice looks at as many engines whatever their number")
+TEST_CASE("the number of engines examined does not grow with the set")
 {
-    std::map<int, std::size_t> looked_at;
+    std::map<int, std::size_t> examined;
     for (const int count : {300, 1'500, 6'000, 12'000}) {
         const UpstreamSet set = engines(count);
         PromptPlacer placer;
@@ -60,30 +60,30 @@
             REQUIRE(placer.place(set,
                                  prompt(number, static_cast<std::uint64_t>(number % 50)),
                                  number * kMillisecond));
-            looked_at[count] = std::max(looked_at[count], placer.last_considered());
+            examined[count] = std::max(examined[count], placer.last_candidate_count());
         }
-        MESSAGE(count, " engines, looked at ", looked_at[count]);
+        MESSAGE(count, " engines, examined ", examined[count]);
     }
-    CHECK(looked_at[6'000] <= looked_at[300] + 32);
-    CHECK(looked_at[12'000] <= looked_at[300] + 32);
+    CHECK(examined[6'000] <= examined[300] + 32);
+    CHECK(examined[12'000] <= examined[300] + 32);
 }
 
-TEST_CASE("among thousands a prompt finds the engine that keeps its parts")
+TEST_CASE("in a set of thousands a prompt goes to the engine that has cached its parts")
 {
     const UpstreamSet set = engines(3'000);
     PromptPlacer placer;
     for (std::uint64_t subject = 1; subject < 200; ++subject) {
         const int number = static_cast<int>(subject) * 2;
         const UpstreamPtr first = placer.place(set, prompt(number, subject), 0);
-        placer.note_begun(std::to_string(number));
-        placer.note_ended(std::to_string(number));
+        placer.on_answer_started(std::to_string(number));
+        placer.record_ended(std::to_string(number));
         CHECK(placer.place(set, prompt(number + 1, subject), 0) == first);
         CHECK(placer.last_read().unread == 4'000);
-        CHECK(placer.last_read().again == 0);
+        CHECK(placer.last_read().reread == 0);
     }
 }
 
-TEST_CASE("among thousands a new leader finds prompts where the one before had them")
+TEST_CASE("in a set of thousands a new leader places prompts where the previous one did")
 {
     const UpstreamSet set = engines(3'000);
     for (std::uint64_t subject = 1; subject < 200; ++subject) {
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("prompts of different subjects lie evenly on thousands of engines")
+TEST_CASE("prompts of different subjects are spread evenly over thousands of engines")
 {
     constexpr int prompts = 3'000;
     const UpstreamSet set = engines(3'000);
@@ -110,13 +110,13 @@
     int most = 0;
     for (const auto& [engine, count] : load)
         most = std::max(most, count);
-    // Nothing is answered: each engine that has a prompt is dearer than one without.
+    // No answer starts, so an engine with a prompt costs more than an engine without one.
     CHECK(most <= 4);
     for (const auto& [hall, count] : halls)
         CHECK(count > prompts / kHalls / 2);
 }
 
-TEST_CASE("where none of the first engines can be used another one is found")
+TEST_CASE("falls back to the whole set if none of the first engines is usable")
 {
     const UpstreamSet set = engines(1'000);
     std::set<std::string> spared {"i3", "i500"};
@@ -133,12 +133,12 @@
     }
 }
 
-TEST_CASE("an engine that has come is found, and one that has gone is not")
+TEST_CASE("an engine that was removed from the set is not chosen any more")
 {
     UpstreamSet set = engines(1'000);
     PromptPlacer placer;
     const UpstreamPtr engine = placer.place(set, prompt(1, 7), 0);
-    placer.note_ended("1");
+    placer.record_ended("1");
     for (auto* side : {&set.own, &set.remote})
         std::erase(*side, engine);
     engine->mark_leaving();
--- a/src/libcypressford/reach_table.cpp
+++ b/src/libcypressford/reach_table.cpp
@@ -13,8 +13,8 @@
 } // namespace
 
 void
-ReachTable::note_unreached(const std::string& from, const UpstreamRun& run,
-                           const std::string& hall, Micros now)
+ReachTable::record_unreachable(const std::string& from, const UpstreamRun& run,
+                               const std::string& hall, Micros now)
 {
     std::erase_if(m_try_at,
                   [now](const auto& item) { return now - item.second > kForgetAfter; });
--- a/src/libcypressford/reach_test.cpp
+++ b/src/libcypressford/reach_test.cpp
@@ -23,7 +23,7 @@
 {
     ReachTable table;
     CHECK_FALSE(table.avoids("a", UpstreamRun {"i1", 1}, "b", 0));
-    table.note_unreached("a", UpstreamRun {"i1", 1}, "b", 0);
+    table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 0);
     CHECK(table.avoids("a", UpstreamRun {"i1", 1}, "b", kSoon));
     CHECK(table.avoids("c", UpstreamRun {"i1", 1}, "b", kSoon));
     CHECK_FALSE(table.avoids("a", UpstreamRun {"i2", 1}, "b", kSoon));
@@ -39,11 +39,11 @@
 TEST_CASE("a hall whose upstreams fail one after the other is taken for cut off")
 {
     ReachTable table;
-    table.note_unreached("a", UpstreamRun {"i1", 1}, "b", 0);
-    table.note_unreached("a", UpstreamRun {"i1", 1}, "b", 1);
-    table.note_unreached("a", UpstreamRun {"i2", 1}, "b", 2);
+    table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 0);
+    table.record_unreachable("a", UpstreamRun {"i1", 1}, "b", 1);
+    table.record_unreachable("a", UpstreamRun {"i2", 1}, "b", 2);
     CHECK_FALSE(table.avoids("a", UpstreamRun {"i9", 1}, "b", 3));
-    table.note_unreached("a", UpstreamRun {"i3", 1}, "b", 3);
+    table.record_unreachable("a", UpstreamRun {"i3", 1}, "b", 3);
     CHECK(table.avoids("a", UpstreamRun {"i9", 1}, "b", 4));
     // Daemons of other halls may reach it.
     CHECK_FALSE(table.avoids("c", UpstreamRun {"i9", 1}, "b", 4));
@@ -56,7 +56,7 @@
 {
     ReachTable table;
     for (int i = 0; i < 20; ++i) {
-        table.note_unreached("a", UpstreamRun {"dead-" + std::to_string(i), 1}, "b", i);
+        table.record_unreachable("a", UpstreamRun {"dead-" + std::to_string(i), 1}, "b", i);
         table.note_answered("a", UpstreamRun {"sound", 1}, "b");
     }
     CHECK_FALSE(table.avoids("a", UpstreamRun {"other", 1}, "b", 20));
@@ -112,10 +112,10 @@
         while (!m_outcomes.empty() && m_outcomes.begin()->first <= now) {
             const Outcome& outcome = m_outcomes.begin()->second;
             if (outcome.reached) {
-                m_placer.note_begun(outcome.attempt);
-                m_placer.note_ended(outcome.attempt);
+                m_placer.on_answer_started(outcome.attempt);
+                m_placer.record_ended(outcome.attempt);
             } else {
-                m_placer.note_unreached(outcome.attempt, now);
+                m_placer.record_unreachable(outcome.attempt, now);
             }
             m_outcomes.erase(m_outcomes.begin());
         }
--- a/src/libcypressford/restart_test.cpp
+++ b/src/libcypressford/restart_test.cpp
@@ -123,11 +123,11 @@
     query.reserve = true;
     query.attempt = "first";
     placer.place(set, query, 0);
-    placer.note_ended("first");
+    placer.record_ended("first");
     query.attempt = "second";
     placer.place(set, query, 0);
     CHECK(placer.last_read().unread == 0);
-    placer.note_ended("second");
+    placer.record_ended("second");
     set.own = {run_of(200)};
     query.attempt = "third";
     placer.place(set, query, 0);
--- a/src/libcypressford/result_halls.cpp
+++ b/src/libcypressford/result_halls.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// In which hall the pieces of a request are made: near the upstreams there are, near
-/// what they read and near whoever reads their results.
+/// Selects the hall where the pieces of a request are made, by the available upstreams, the
+/// location of the inputs and the location of the reader of the results.
 
 #include <cypressford/pieces.h>
 
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Fewer bytes are not worth waiting for an upstream of a certain hall: they cross in a
-/// millisecond, and calls that leave pieces behind for it are less full.  Measured in
-/// docs/POLICY.md.
-constexpr std::int64_t kBytesWorthHall = 500'000;
+/// Bytes below which waiting for an upstream of a certain hall does not pay: they cross
+/// between halls in a millisecond, and calls that leave pieces behind for a hall are less
+/// full.
+constexpr std::int64_t kMinBytesForHall = 500'000;
 
 } // namespace
 
 std::string
-main_hall(const BytesByHall& bytes)
+hall_with_most_bytes(const BytesByHall& bytes)
 {
     const auto fewer = [](const auto& a, const auto& b) { return a.second < b.second; };
     const auto most = std::max_element(bytes.begin(), bytes.end(), fewer);
@@ -33,14 +33,14 @@
 std::string
 hall_of_least_transfer(const StageTransfer& transfer)
 {
-    // What does not move, by hall; the hall that keeps most moves least.
+    // Bytes that do not move, by hall; the hall with the most has the least transfer.
     BytesByHall staying;
     if (!transfer.reader.empty())
         staying[transfer.reader] = transfer.result_bytes;
     for (const auto& [hall, bytes] : transfer.inputs)
         staying[hall] += bytes * transfer.pieces;
-    const std::string best = main_hall(staying);
-    if (best.empty() || staying[best] < kBytesWorthHall)
+    const std::string best = hall_with_most_bytes(staying);
+    if (best.empty() || staying[best] < kMinBytesForHall)
         return {};
     const auto at_reader = staying.find(transfer.reader);
     const bool reader_is_as_good
@@ -52,7 +52,7 @@
 hall_parts(const Snapshot& snapshot, const ResolvedPipeline& pipeline,
            const std::vector<int>& counts, Micros now)
 {
-    std::map<std::string, double> weights; // the least part of any set
+    std::map<std::string, double> weights; // smallest fraction over the sets
     for (std::size_t at = 0; at < counts.size(); ++at) {
         if (counts[at] == 0)
             continue;
--- a/src/libcypressford/result_memory.cpp
+++ b/src/libcypressford/result_memory.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-constexpr double kBytesOfMb = 1e6;
-/// Steps of the margin, as parts of the memory: two results of fifty for each refusal, and
-/// back over some twenty calls that fit (additive, as refusals are dear and memory is not).
-constexpr double kMarginUp = 0.02;
-constexpr double kMarginDown = 0.002;
-constexpr double kMostMargin = 0.12;
-/// A call says that the margin is large enough only if it nearly filled the memory.
-constexpr double kNearlyFull = 0.1;
+constexpr double kBytesPerMb = 1e6;
+/// Steps of the margin, as fractions of the memory: each refusal adds two results out of
+/// fifty, and about twenty calls that fit take the step back (an additive increase, since
+/// refusals are expensive and memory is not).
+constexpr double kMarginIncrease = 0.02;
+constexpr double kMarginDecrease = 0.002;
+constexpr double kMaxMargin = 0.12;
+/// A call that fits shrinks the margin only if less than this fraction of the memory was
+/// left free.
+constexpr double kNearlyFullFraction = 0.1;
 
 } // namespace
 
@@ -30,7 +32,7 @@
     const auto full = m_full_until.find(&upstream);
     if (full != m_full_until.end() && full->second > now)
         return 0;
-    const double memory = batch.memory_mb * kBytesOfMb;
+    const double memory = batch.memory_mb * kBytesPerMb;
     const auto it = m_bytes.find(&upstream);
     // One result may be as large as all of the memory.
     if (it == m_bytes.end())
@@ -39,67 +41,67 @@
 }
 
 void
-ResultMemory::note_full(const UpstreamState& upstream, Micros until)
+ResultMemory::record_full(const UpstreamState& upstream, Micros until)
 {
     m_full_until[&upstream] = until;
-    m_margin = std::min(kMostMargin, m_margin + kMarginUp);
+    m_margin = std::min(kMaxMargin, m_margin + kMarginIncrease);
 }
 
 void
-ResultMemory::note_fit(const BatchSpec& batch, std::int64_t left)
+ResultMemory::record_fit(const BatchSpec& batch, std::int64_t left)
 {
-    if (static_cast<double>(left) < kNearlyFull * batch.memory_mb * kBytesOfMb)
-        m_margin = std::max(0.0, m_margin - kMarginDown);
+    if (static_cast<double>(left) < kNearlyFullFraction * batch.memory_mb * kBytesPerMb)
+        m_margin = std::max(0.0, m_margin - kMarginDecrease);
 }
 
 void
-ResultMemory::take(const UpstreamState& upstream, PieceId piece, std::int64_t bytes,
-                   Micros until)
+ResultMemory::reserve(const UpstreamState& upstream, PieceId piece, std::int64_t bytes,
+                      Micros until)
 {
-    m_taken[piece] = {&upstream, bytes, until, {}};
+    m_reservations[piece] = {&upstream, bytes, until, {}};
     m_bytes[&upstream] += bytes;
-    m_ends.emplace(until, piece);
+    m_expiries.emplace(until, piece);
 }
 
 void
-ResultMemory::name(PieceId piece, const std::string& handle)
+ResultMemory::set_handle(PieceId piece, const std::string& handle)
 {
-    const auto it = m_taken.find(piece);
-    if (it == m_taken.end())
+    const auto it = m_reservations.find(piece);
+    if (it == m_reservations.end())
         return;
     it->second.handle = handle;
     m_by_handle[handle] = piece;
 }
 
 void
-ResultMemory::give_back(PieceId piece)
+ResultMemory::release(PieceId piece)
 {
-    const auto it = m_taken.find(piece);
-    if (it == m_taken.end())
+    const auto it = m_reservations.find(piece);
+    if (it == m_reservations.end())
         return;
-    const Taken& taken = it->second;
-    const auto bytes = m_bytes.find(taken.upstream);
-    bytes->second -= taken.bytes;
+    const Reservation& reservation = it->second;
+    const auto bytes = m_bytes.find(reservation.upstream);
+    bytes->second -= reservation.bytes;
     if (bytes->second <= 0)
         m_bytes.erase(bytes);
-    m_by_handle.erase(taken.handle);
-    m_ends.erase({taken.until, piece});
-    m_taken.erase(it);
+    m_by_handle.erase(reservation.handle);
+    m_expiries.erase({reservation.until, piece});
+    m_reservations.erase(it);
 }
 
 void
-ResultMemory::give_back(const std::string& handle)
+ResultMemory::release(const std::string& handle)
 {
     const auto it = m_by_handle.find(handle);
     if (it != m_by_handle.end())
-        give_back(PieceId {it->second});
+        release(PieceId {it->second});
 }
 
 void
 ResultMemory::expire(Micros now)
 {
-    while (!m_ends.empty() && m_ends.begin()->first <= now)
-        give_back(PieceId {m_ends.begin()->second});
+    while (!m_expiries.empty() && m_expiries.begin()->first <= now)
+        release(PieceId {m_expiries.begin()->second});
 }
 
 } // namespace cypressford
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -286,7 +286,7 @@
         query.reserve = true;
         if (placer.place(set, query, now))
             placed.push_back(now);
-        placer.note_ended(query.attempt);
+        placer.record_ended(query.attempt);
     }
     // Half of the limit.
     CHECK(placed.size() >= 14);
--- a/src/libserve/daemon.cpp
+++ b/src/libserve/daemon.cpp
@@ -112,7 +112,7 @@
                        [this, lost = std::move(address)] { directory->report_lost(lost); });
         };
         directory->on_unreachable([this](std::set<std::string> addresses) {
-            pieces->take_unreachable(std::move(addresses));
+            pieces->set_unreachable(std::move(addresses));
         });
         ends = std::make_unique<EndWatch>(control);
         kernel.ends = ends.get();
@@ -121,7 +121,7 @@
         ends->on_answered(
             [this](const RequestDigest& digest) { suspects->tell_answered(digest); });
         directory->on_daemons([this](std::vector<DaemonRecord> records) {
-            pieces->take_daemons(std::move(records));
+            pieces->set_daemons(std::move(records));
         });
     }
 
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -102,7 +102,7 @@
     const auto watch = std::make_shared<ReaderWatch>(m_io, m_peers, reader);
     m_reader_watch = watch;
     options.handle = watch->call();
-    options.on_head = [watch](const HttpResponse&) { watch->note_begun(); };
+    options.on_head = [watch](const HttpResponse&) { watch->on_answer_started(); };
     if (!must_list) {
         options.deadline_us = std::max(options.deadline_us, m_view.reader_due_at());
         // Where what is known gets old first, a silent reader must be found out sooner.
--- a/src/libserve/directory/reader_watch.cpp
+++ b/src/libserve/directory/reader_watch.cpp
@@ -68,7 +68,7 @@
 }
 
 void
-ReaderWatch::note_begun()
+ReaderWatch::on_answer_started()
 {
     m_begun = true;
     m_timer.cancel();
--- a/src/libserve/directory/reader_watch.h
+++ b/src/libserve/directory/reader_watch.h
@@ -33,7 +33,7 @@
     boost::asio::awaitable<void> run(Micros late_at, Micros sign_limit);
 
     /// The answer has begun to arrive.
-    void note_begun();
+    void on_answer_started();
     /// The question was answered or given up.
     void end();
 
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -202,7 +202,7 @@
 Worker::act(const BeginPreparation& action)
 {
     const ContextPtr context = m_contexts.at(action.request);
-    PiecesWanted wanted;
+    PiecesRequest wanted;
     wanted.snapshot = context->spec.snapshot;
     wanted.pipeline = context->spec.pipeline;
     wanted.counts = context->spec.pieces;
@@ -224,7 +224,7 @@
         wanted.prompt.affinity = context->spec.affinity;
     }
     m_kernel.pieces->want(
-        action.request, std::move(wanted), [this, id = action.request](PiecesMade made) {
+        action.request, std::move(wanted), [this, id = action.request](PiecesResult made) {
             asio::post(m_io, [this, id, made = std::move(made)]() mutable {
                 pieces_made(id, std::move(made));
             });
@@ -232,7 +232,7 @@
 }
 
 void
-Worker::pieces_made(RequestId request, PiecesMade made)
+Worker::pieces_made(RequestId request, PiecesResult made)
 {
     const auto it = m_contexts.find(request);
     if (it == m_contexts.end() || it->second->reply) {
@@ -259,7 +259,7 @@
     if (it == m_contexts.end() || !it->second->relay || !m_kernel.pieces)
         return;
     const RequestContext& context = *it->second;
-    m_kernel.pieces->note_unreached(context.set_name(), context.relay->call.attempt);
+    m_kernel.pieces->record_unreachable(context.set_name(), context.relay->call.attempt);
 }
 
 void
@@ -286,7 +286,7 @@
         RequestContext& context = *it->second;
         m_kernel.pieces->free_results(std::move(context.relay->inputs));
         if (context.spec.asks_leader)
-            m_kernel.pieces->note_ended(context.set_name(), context.relay->call.attempt);
+            m_kernel.pieces->record_ended(context.set_name(), context.relay->call.attempt);
     }
     m_contexts.erase(it);
 }
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -183,7 +183,7 @@
     void act(const BeginPreparation& action);
     void act(const ReleaseInputs& action);
     void act(const CancelPreparation& action);
-    void pieces_made(RequestId request, PiecesMade made);
+    void pieces_made(RequestId request, PiecesResult made);
     void act(const Reply& action);
     void act(const Forget& action);
     void claim_decided(DecideClaim decision);
--- a/src/libserve/peers/peer_watch.cpp
+++ b/src/libserve/peers/peer_watch.cpp
@@ -83,7 +83,7 @@
 }
 
 void
-PeerWatch::take_unreachable(std::set<std::string> addresses)
+PeerWatch::set_unreachable(std::set<std::string> addresses)
 {
     for (const std::string& address : addresses) {
         if (m_told.contains(address) || !m_daemons.suspect(address))
--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -35,7 +35,7 @@
 
     /// Daemons that another one of the hall has found not to answer, and no others: they
     /// lead nothing while they are named.
-    void take_unreachable(std::set<std::string> addresses);
+    void set_unreachable(std::set<std::string> addresses);
 
     void note_answer(const std::string& address);
     void suspect(const std::string& address);
--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Empty if the set has no such upstream (any more).
+/// Empty if the set has no upstream with that address.
 std::string
 hall_of(const UpstreamSet& set, const std::string& address)
 {
@@ -49,16 +49,16 @@
 }
 
 std::vector<std::string>
-PieceJob::unusable(Micros now) const
+PieceJob::unusable_engines(Micros now) const
 {
-    // 12 bytes each.  Beyond that, an upstream that is chosen all the same is replaced by
-    // this daemon's own choice.
+    // 12 bytes each.  If the leader chooses an upstream beyond this limit, this daemon
+    // replaces it with its own choice.
     constexpr std::size_t most = 64;
     std::vector<std::string> identities;
     const UpstreamSet& set = reader_set();
     for (const auto* side : {&set.own, &set.remote})
         for (const auto& upstream : *side) {
-            // Limits are told apart: the leader sees to the sum over all daemons.
+            // Limits are reported separately: the leader checks the sum over all daemons.
             const bool can_use
                 = is_in_service(*upstream, now) && !upstream->said->rests(now);
             if (!can_use && identities.size() < most)
@@ -86,7 +86,7 @@
     order.upstream_set = set_of(stage).spec.name;
     order.priority = wanted.priority;
     order.near = std::move(hall);
-    order.again = wanted.again;
+    order.is_retry = wanted.again;
     order.halls = wanted.halls;
     order.result_bytes = resolved().spec.piece_stages[stage].result_bytes;
     order.due_left = wanted.prompt_by
@@ -123,7 +123,7 @@
     StageTransfer transfer;
     transfer.inputs = bytes_by_hall(plan.inputs_of(stage), dialect);
     transfer.pieces = plan.count(stage);
-    // Where no prompt is kept, the upstream is chosen near the results.
+    // If no prompt is cached, the upstream is chosen near the results.
     if (plan.is_last(stage) && wanted.follows_prompt) {
         transfer.reader = near;
         transfer.result_bytes
@@ -133,7 +133,7 @@
 }
 
 std::vector<PieceHandle>
-PieceJob::with_sets(const std::vector<std::string>& handles) const
+PieceJob::with_set_names(const std::vector<std::string>& handles) const
 {
     std::vector<PieceHandle> result;
     result.reserve(handles.size());
--- a/src/libserve/pieces/piece_job.h
+++ b/src/libserve/pieces/piece_job.h
@@ -21,8 +21,8 @@
 
 namespace cypressford {
 
-/// The pieces that one request needs.
-struct PiecesWanted {
+/// Parameters of PieceService::want(): the pieces that one request needs.
+struct PiecesRequest {
     SnapshotPtr snapshot;
     std::size_t pipeline = 0;
     std::vector<int> counts; ///< by piece stage
@@ -30,13 +30,14 @@
     std::string piece_key;
     int priority = 0;
     Micros deadline = 0;
-    Micros prompt_by = 0; ///< when the pieces must be made for a prompt answer
-    std::string near; ///< hall for the results; empty: where the prompt is kept
-    bool follows_prompt = false; ///< the upstream that keeps the prompt decides the hall
+    Micros prompt_by = 0; ///< time by which the pieces must be made for a prompt answer
+    std::string near; ///< hall for the results; empty: where the prompt is cached
+    /// Make the results in the hall of the upstream that has cached the prompt.
+    bool follows_prompt = false;
     std::string reader_set; ///< the set whose leader chooses an upstream; empty: none
     PromptQuery prompt;
-    HallLimit halls; ///< where pieces are made and the prompt is read
-    bool again = false; ///< they were made before: this is a retry at each set
+    HallLimit halls; ///< the only halls where pieces are made and the prompt is read
+    bool again = false; ///< the pieces were made before: each is a retry at its set
 };
 
 /// A result with the set that it belongs to.
@@ -45,20 +46,21 @@
     std::string handle;
 };
 
-/// What became of them.
-struct PiecesMade {
+/// Outcome of a PiecesRequest.
+struct PiecesResult {
     bool made = false;
-    std::vector<PieceHandle> inputs; ///< results that the request is to read
+    std::vector<PieceHandle> inputs; ///< results that the request reads
     std::string hall; ///< where most of their bytes are
-    std::string identity; ///< of the upstream that is to read them; empty: any
-    bool is_counted = false; ///< the leader has counted that against the upstream's limit
+    std::string identity; ///< of the upstream that should read them; empty: any
+    /// The leader has counted the call against the upstream's rate limit.
+    bool is_counted = false;
 };
 
-/// One request's pieces on their way.
+/// State of one request's pieces while they are made.
 struct PieceJob {
-    using Done = std::function<void(PiecesMade)>;
+    using Done = std::function<void(PiecesResult)>;
 
-    PieceJob(boost::asio::io_context& io, PiecesWanted wanted_, Done done_)
+    PieceJob(boost::asio::io_context& io, PiecesRequest wanted_, Done done_)
         : wanted(std::move(wanted_))
         , plan(resolved().spec.piece_stages, wanted.counts)
         , done(std::move(done_))
@@ -72,47 +74,48 @@
     {
         return wanted.snapshot->bundle->pipelines[wanted.pipeline];
     }
-    /// The engines of which one is to read the prompt.
+    /// The engines of which one reads the prompt.
     const UpstreamSet& reader_set() const;
     const UpstreamSet& set_of(std::size_t stage) const
     {
         return wanted.snapshot->sets[resolved().piece_sets[stage]];
     }
 
-    /// Time until each stage is made, if it starts now: its call, and what such pieces
-    /// waited of late.
+    /// Time until each stage is made if it starts now: its call time plus the recent
+    /// typical queueing delay of such pieces.
     std::vector<Micros> time_left(Micros now) const;
 
-    /// Engines that this daemon can not use now; the leader may not know of it.
-    std::vector<std::string> unusable(Micros now) const;
+    /// Identities of engines that this daemon cannot use now; the leader may not have
+    /// detected this.
+    std::vector<std::string> unusable_engines(Micros now) const;
 
-    /// What this daemon has heard of limits that engines name.
+    /// Limit reports of engines that this daemon has received.
     LimitWords limit_words(Micros now) const;
-    /// Takes over what the leader has heard of them.
+    /// Takes over limit reports from the leader.
     void take_words(const LimitWords& words, Micros now) const;
 
-    /// The order of a stage; its `due_left` is a point in time.
+    /// The order for a stage; its `due_left` is a point in time.
     PieceOrder order_for(std::size_t stage, std::string near) const;
 
-    /// Where results lie, and how large they are by what the pipeline says of them.
+    /// Bytes of the results by hall, from the result sizes that the pipeline specifies.
     BytesByHall bytes_by_hall(const std::vector<std::string>& handles,
                               const CallDialect& dialect) const;
 
-    /// What decides in which hall a stage is best made.
+    /// The transfers that decide in which hall the stage is made.
     StageTransfer transfer_of(std::size_t stage, const CallDialect& dialect) const;
 
-    std::vector<PieceHandle> with_sets(const std::vector<std::string>& handles) const;
+    std::vector<PieceHandle> with_set_names(const std::vector<std::string>& handles) const;
 
-    const PiecesWanted wanted;
+    const PiecesRequest wanted;
     PiecePlan plan;
     Done done;
     std::string near; ///< hall for the results
-    std::vector<Micros> started_at; ///< by stage; 0: not yet
+    std::vector<Micros> started_at; ///< by stage; 0: not started
     bool failed = false;
     bool cancelled = false;
-    int running = 0; ///< stages under way
-    std::set<std::shared_ptr<CallHandle>> calls; ///< at other daemons
-    std::set<std::shared_ptr<PieceMaker::Ticket>> tickets; ///< at this one
+    int running = 0; ///< stages in progress
+    std::set<std::shared_ptr<CallHandle>> calls; ///< to other daemons
+    std::set<std::shared_ptr<PieceMaker::Ticket>> tickets; ///< at this daemon
     BootTimer changed;
 };
 
--- a/src/libserve/pieces/piece_maker.cpp
+++ b/src/libserve/pieces/piece_maker.cpp
@@ -25,23 +25,24 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr Micros kConnectTime = 250 * kMillisecond;
-/// A call that takes this many times what such calls take, and a little, is given
-/// up: its pieces are made elsewhere sooner.
-constexpr Micros kTimeoutOverTypical = 2;
-constexpr Micros kTimeoutFloor = 200 * kMillisecond;
-/// An upstream that was full or did not answer is left alone for so long.
+constexpr Micros kConnectTimeout = 250 * kMillisecond;
+/// A call times out after this multiple of the typical time of such a call plus
+/// kTimeoutMargin, so that its pieces are made elsewhere sooner.
+constexpr Micros kTimeoutFactor = 2;
+constexpr Micros kTimeoutMargin = 200 * kMillisecond;
+/// No calls are sent for this time to an upstream that was full.
 constexpr Micros kBackOffWhenFull = 40 * kMillisecond;
-/// One that had no memory for a result is tried again when the next results are released:
-/// a set's calls take 200 ms and more, and several of its upstreams end theirs meanwhile.
+/// An upstream that had no memory for a result is tried again when further results are
+/// likely to be released: a set's calls take 200 ms and more, and several of its upstreams
+/// finish theirs in this time.
 constexpr Micros kBackOffWhenNoMemory = 30 * kMillisecond;
-/// Between looks at pieces that wait for a certain upstream.
-constexpr Micros kLaterLook = 20 * kMillisecond;
-constexpr int kMaxCalls = 4; ///< that one piece goes out with
+/// Interval of checks on pieces that wait for a certain upstream.
+constexpr Micros kRecheckInterval = 20 * kMillisecond;
+constexpr int kMaxCallsPerPiece = 4; ///< in which one piece is sent
 constexpr int kOk = 200;
-constexpr std::int64_t kBytesOfKb = 1000;
+constexpr std::int64_t kBytesPerKb = 1000;
 
-/// The requests that a call is for, some of them if they are many.
+/// Ids of the requests that a call is for, comma-separated; at most `most` of them.
 std::string
 distinct_requests(const std::vector<PieceItem>& items)
 {
@@ -75,7 +76,7 @@
     std::vector<PieceResult> results;
     std::vector<PieceId> ids;
     std::size_t left; ///< pieces without a result
-    bool over = false; ///< nobody waits for it any more
+    bool finished = false; ///< no caller waits for it any more
     BootTimer changed;
 };
 
@@ -103,19 +104,19 @@
 {
 }
 
-PieceMaker::Line&
-PieceMaker::line_of(const std::string& set_name)
+PieceMaker::SetQueue&
+PieceMaker::set_queue_of(const std::string& set_name)
 {
-    const auto known = m_lines.find(set_name);
-    if (known != m_lines.end())
+    const auto known = m_set_queues.find(set_name);
+    if (known != m_set_queues.end())
         return known->second;
     PieceQueue queue(m_kernel.settings.scheduler.switches);
-    return m_lines.emplace(set_name, Line {std::move(queue), new_budget(), false})
+    return m_set_queues.emplace(set_name, SetQueue {std::move(queue), new_budget(), false})
         .first->second;
 }
 
-/// The leader of a set spends for all daemons; half of the limit is left for a
-/// second leader while daemons disagree.
+/// The leader of a set spends retries for all daemons; half of the limit is left for a
+/// second leader while daemons disagree on the leader.
 RetryBudget
 PieceMaker::new_budget() const
 {
@@ -142,8 +143,8 @@
 {
     const std::string set_name = wanted.upstream_set;
     auto order = std::make_shared<Order>(m_io, std::move(wanted));
-    Line& line = line_of(set_name);
-    if (order->order.again && !line.retries.spend(order->results.size())) {
+    SetQueue& set_queue = set_queue_of(set_name);
+    if (order->order.is_retry && !set_queue.retries.spend(order->results.size())) {
         LogEvent("pieces_not_again", LogLevel::Warn)
             .kv("set", set_name)
             .kv("request", distinct_requests(order->order.pieces))
@@ -157,18 +158,18 @@
         const PieceId id = m_next++;
         order->ids.push_back(id);
         m_pieces[id] = {order, i, 0, false};
-        line.queue.add(waiting_piece(*order, id));
+        set_queue.queue.add(waiting_piece(*order, id));
     }
-    if (!order->order.again)
-        line.retries.earn(order->ids.size());
+    if (!order->order.is_retry)
+        set_queue.retries.earn(order->ids.size());
     ticket->m_on_cancel = [weak = std::weak_ptr(order)] {
         if (const auto alive = weak.lock()) {
-            alive->over = true;
+            alive->finished = true;
             alive->changed.cancel();
         }
     };
-    pump(set_name);
-    while (order->left > 0 && !order->over && !ticket->m_cancelled) {
+    dispatch(set_name);
+    while (order->left > 0 && !order->finished && !ticket->m_cancelled) {
         const Micros left = order->deadline - monotonic_us();
         if (left <= 0)
             break;
@@ -182,57 +183,57 @@
     const SnapshotPtr snapshot = m_kernel.snapshot.load();
     if (const UpstreamSet* set = snapshot ? find_set(*snapshot, set_name) : nullptr)
         answer.expected_wait
-            = line.queue.expected_wait(*set, order->order.priority, monotonic_us());
+            = set_queue.queue.expected_wait(*set, order->order.priority, monotonic_us());
     co_return answer;
 }
 
-/// Takes back the pieces of an order that has no reader any more.
+/// Removes the waiting pieces of an order that no caller waits for.
 void
 PieceMaker::cancel(const std::shared_ptr<Order>& order)
 {
-    order->over = true;
-    Line& line = line_of(order->order.upstream_set);
+    order->finished = true;
+    SetQueue& set_queue = set_queue_of(order->order.upstream_set);
     for (const PieceId id : order->ids)
-        if (line.queue.remove(id))
+        if (set_queue.queue.remove(id))
             m_pieces.erase(id);
 }
 
 void
-PieceMaker::pump(const std::string& set_name)
+PieceMaker::dispatch(const std::string& set_name)
 {
     const SnapshotPtr snapshot = m_kernel.snapshot.load();
     const UpstreamSet* set = snapshot ? find_set(*snapshot, set_name) : nullptr;
     if (!set)
         return;
-    Line& line = line_of(set_name);
-    for (const PieceId id : line.queue.take_overdue(*set, monotonic_us()))
+    SetQueue& set_queue = set_queue_of(set_name);
+    for (const PieceId id : set_queue.queue.take_overdue(*set, monotonic_us()))
         finish(id, {PieceOutcome::Late, {}});
-    while (auto call = line.queue.next_call(*set, monotonic_us())) {
+    while (auto call = set_queue.queue.next_call(*set, monotonic_us())) {
         call->upstream->in_flight.fetch_add(1, std::memory_order_relaxed);
         for (const PieceId id : call->pieces) {
             Piece& piece = m_pieces.at(id);
-            piece.out = true;
+            piece.in_flight = true;
             ++piece.calls;
         }
         asio::co_spawn(m_io, run_call(set_name, snapshot, *std::move(call)),
                        asio::detached);
     }
-    // Pieces that wait for an upstream of their hall, and upstreams that rest, are
-    // looked at again after a while.
-    if (line.queue.size() > 0 && !line.woken_later) {
-        line.woken_later = true;
-        asio::co_spawn(m_io, pump_later(set_name, kLaterLook), asio::detached);
+    // Check again later for pieces that wait for an upstream of their hall, and for
+    // upstreams that are backed off.
+    if (set_queue.queue.size() > 0 && !set_queue.recheck_scheduled) {
+        set_queue.recheck_scheduled = true;
+        asio::co_spawn(m_io, dispatch_later(set_name, kRecheckInterval), asio::detached);
     }
 }
 
 asio::awaitable<void>
-PieceMaker::pump_later(std::string set_name, Micros pause)
+PieceMaker::dispatch_later(std::string set_name, Micros pause)
 {
     BootTimer timer(m_io);
     timer.expires_after(std::chrono::microseconds(pause));
     co_await timer.async_wait(kToTuple);
-    line_of(set_name).woken_later = false;
-    pump(set_name);
+    set_queue_of(set_name).recheck_scheduled = false;
+    dispatch(set_name);
 }
 
 std::vector<PieceItem>
@@ -257,8 +258,8 @@
     const Micros typical = call_time(set.spec, static_cast<int>(call.pieces.size()));
     CallOptions options;
     options.deadline_us
-        = std::min(last_deadline, now + kTimeoutOverTypical * typical + kTimeoutFloor);
-    options.connect_deadline_us = now + kConnectTime;
+        = std::min(last_deadline, now + kTimeoutFactor * typical + kTimeoutMargin);
+    options.connect_deadline_us = now + kConnectTimeout;
     options.resend_if_stale = false;
     options.send_clock = false;
     options.may_send = [upstream = call.upstream] {
@@ -283,7 +284,7 @@
     SentCall sent;
     sent.at = monotonic_us();
     sent.items = items_of(call, sent.at);
-    sent.left_waiting = line_of(set_name).queue.size();
+    sent.left_waiting = set_queue_of(set_name).queue.size();
     sent.memory_left = free_bytes(set, call);
     CallOptions options = options_of(set, call, sent.at);
     UpstreamAnswer said;
@@ -301,13 +302,13 @@
         settle_call(set, call, results, sent.memory_left);
     else
         settle_failed_call(set_name, call, result.status, said);
-    pump(set_name);
+    dispatch(set_name);
 }
 
 std::int64_t
 PieceMaker::free_bytes(const UpstreamSet& set, const PieceCall& call)
 {
-    return line_of(set.spec.name)
+    return set_queue_of(set.spec.name)
         .queue.memory()
         .free_bytes(*call.upstream, set.spec.batch.value_or(BatchSpec {}), monotonic_us());
 }
@@ -328,10 +329,10 @@
         .kv("pieces", sent.items.size())
         .kv("bound", set.spec.batch ? set.spec.batch->items : 0)
         .kv("left_waiting", sent.left_waiting)
-        .kv("memory_left_kb", sent.memory_left / kBytesOfKb)
-        .kv("left_for_memory", call.left.memory)
-        .kv("left_for_hall", call.left.hall)
-        .kv("left_for_group", call.left.group)
+        .kv("memory_left_kb", sent.memory_left / kBytesPerKb)
+        .kv("left_for_memory", call.skipped.memory)
+        .kv("left_for_hall", call.skipped.hall)
+        .kv("left_for_group", call.skipped.group)
         .kv("status", answered ? result.response.status : 0)
         .kv("withheld", result.status == CallStatus::Withheld)
         .kv("whole", results.size() == call.pieces.size())
@@ -340,17 +341,17 @@
         .kv("no_memory", count(PieceOutcome::NoMemory))
         .kv("failed", count(PieceOutcome::Failed))
         .kv("requests", distinct_requests(sent.items))
-        .kv("waiting", line_of(set.spec.name).queue.size())
-        .kv("memory_kb", free_bytes(set, call) / kBytesOfKb)
+        .kv("waiting", set_queue_of(set.spec.name).queue.size())
+        .kv("memory_kb", free_bytes(set, call) / kBytesPerKb)
         .kv("us", monotonic_us() - sent.at);
 }
 
-/// Not every piece of the call has an answer.
+/// Handles a call for which not every piece has an answer.
 void
 PieceMaker::settle_failed_call(const std::string& set_name, const PieceCall& call,
                                CallStatus status, const UpstreamAnswer& said)
 {
-    PieceQueue& queue = line_of(set_name).queue;
+    PieceQueue& queue = set_queue_of(set_name).queue;
     const Micros now = monotonic_us();
     const bool answered = status == CallStatus::Answered;
     if (answered && said.other_identity)
@@ -358,29 +359,29 @@
     else if (answered && said.not_run)
         queue.back_off(*call.upstream, now + kBackOffWhenFull);
     else if (status != CallStatus::Withheld)
-        queue.note_failure(*call.upstream, now);
+        queue.record_failure(*call.upstream, now);
     const bool arrived = answered || status == CallStatus::Lost;
     for (const PieceId id : call.pieces) {
-        queue.memory().give_back(id);
-        queue_again(set_name, id, arrived, PieceOutcome::Failed);
+        queue.memory().release(id);
+        requeue(set_name, id, arrived, PieceOutcome::Failed);
     }
 }
 
-/// Every piece of the call has an answer.
+/// Handles a call for which every piece has an answer.
 void
 PieceMaker::settle_call(const UpstreamSet& set, const PieceCall& call,
                         const std::vector<PieceResult>& results, std::int64_t memory_left)
 {
     const std::string& set_name = set.spec.name;
-    PieceQueue& queue = line_of(set_name).queue;
-    queue.note_success(*call.upstream);
+    PieceQueue& queue = set_queue_of(set_name).queue;
+    queue.record_success(*call.upstream);
     const bool lacked_memory
         = std::any_of(results.begin(), results.end(),
                       [](const auto& r) { return r.outcome == PieceOutcome::NoMemory; });
     if (lacked_memory)
-        queue.memory().note_full(*call.upstream, monotonic_us() + kBackOffWhenNoMemory);
+        queue.memory().record_full(*call.upstream, monotonic_us() + kBackOffWhenNoMemory);
     else
-        queue.memory().note_fit(set.spec.batch.value_or(BatchSpec {}), memory_left);
+        queue.memory().record_fit(set.spec.batch.value_or(BatchSpec {}), memory_left);
     for (std::size_t i = 0; i < results.size(); ++i)
         settle(set_name, call.pieces[i], results[i]);
 }
@@ -388,43 +389,43 @@
 void
 PieceMaker::settle(const std::string& set_name, PieceId id, const PieceResult& result)
 {
-    ResultMemory& memory = line_of(set_name).queue.memory();
+    ResultMemory& memory = set_queue_of(set_name).queue.memory();
     if (result.outcome == PieceOutcome::Made)
-        memory.name(id, result.handle);
+        memory.set_handle(id, result.handle);
     else
-        memory.give_back(id);
+        memory.release(id);
     const bool elsewhere = result.outcome == PieceOutcome::NoMemory
         || result.outcome == PieceOutcome::Failed;
     if (elsewhere)
-        queue_again(set_name, id, true, result.outcome);
+        requeue(set_name, id, true, result.outcome);
     else
         finish(id, result);
 }
 
 void
-PieceMaker::note_releases(const Releases& releases)
+PieceMaker::on_releases(const Releases& releases)
 {
-    Line& line = line_of(releases.upstream_set);
+    SetQueue& set_queue = set_queue_of(releases.upstream_set);
     for (const std::string& handle : releases.handles)
-        line.queue.memory().give_back(handle);
-    pump(releases.upstream_set);
+        set_queue.queue.memory().release(handle);
+    dispatch(releases.upstream_set);
 }
 
 void
-PieceMaker::queue_again(const std::string& set_name, PieceId id, bool arrived,
-                        PieceOutcome last)
+PieceMaker::requeue(const std::string& set_name, PieceId id, bool arrived,
+                    PieceOutcome last)
 {
     Piece& piece = m_pieces.at(id);
-    piece.out = false;
-    Line& line = line_of(set_name);
-    const bool may = !piece.order->over && piece.calls < kMaxCalls
+    piece.in_flight = false;
+    SetQueue& set_queue = set_queue_of(set_name);
+    const bool may_retry = !piece.order->finished && piece.calls < kMaxCallsPerPiece
         && monotonic_us() < piece.order->deadline;
-    if (!may)
+    if (!may_retry)
         finish(id, {last, {}});
-    else if (arrived && !line.retries.spend())
+    else if (arrived && !set_queue.retries.spend())
         finish(id, {PieceOutcome::NoRetry, {}});
     else
-        line.queue.add(waiting_piece(*piece.order, id));
+        set_queue.queue.add(waiting_piece(*piece.order, id));
 }
 
 void
@@ -434,14 +435,14 @@
     const Piece piece = std::move(it->second);
     m_pieces.erase(it);
     Order& order = *piece.order;
-    if (order.over) {
+    if (order.finished) {
         if (result.outcome == PieceOutcome::Made)
             m_free_result(order.order.upstream_set, result.handle);
         return;
     }
     order.results[piece.index] = result;
     --order.left;
-    // One piece that can't be made makes the others useless.
+    // If one piece cannot be made, the other pieces of the order are useless.
     if (result.outcome != PieceOutcome::Made)
         order.left = 0;
     if (order.left == 0)
--- a/src/libserve/pieces/piece_maker.h
+++ b/src/libserve/pieces/piece_maker.h
@@ -20,11 +20,10 @@
 
 namespace cypressford {
 
-/// Has pieces made at the upstreams of the sets that this daemon leads.  Lives on
-/// one thread.
+/// Makes pieces at the upstreams of the sets that this daemon leads.  Runs on one thread.
 class PieceMaker {
 public:
-    /// Gives up on an order; its pieces that wait are taken back.
+    /// Cancels an order; its pieces that wait are removed from the queue.
     class Ticket {
     public:
         void cancel()
@@ -45,62 +44,61 @@
 
     PieceMaker(boost::asio::io_context& io, Kernel& kernel, FreeResult free_result);
 
-    /// Ends when every piece is made or has failed.
+    /// Completes when every piece is made or one has failed.
     boost::asio::awaitable<PieceAnswer> make(PieceOrder order,
                                              std::shared_ptr<Ticket> ticket);
 
-    /// Memory at the upstreams that is free again.
-    void note_releases(const Releases& releases);
+    /// Frees the memory of released results at their upstreams.
+    void on_releases(const Releases& releases);
 
     bool is_idle() const { return m_pieces.empty(); }
 
 private:
-    /// An order that is under way.
+    /// An order in progress.
     struct Order;
     struct Piece {
         std::shared_ptr<Order> order;
         std::size_t index = 0; ///< of the piece in its order
-        int calls = 0; ///< it went out with
-        bool out = false; ///< is with an upstream now
+        int calls = 0; ///< in which it was sent
+        bool in_flight = false; ///< a call with it is in progress
     };
-    /// What there is for one upstream set.
-    struct Line {
+    /// State of one upstream set.
+    struct SetQueue {
         PieceQueue queue;
         RetryBudget retries;
-        bool woken_later = false; ///< a later look is due already
+        bool recheck_scheduled = false; ///< a later dispatch is scheduled
     };
 
-    /// What a call went out with, for the log and for what its end teaches.
+    /// A call as it was sent, for the log and for the memory estimate.
     struct SentCall {
         Micros at = 0;
         std::vector<PieceItem> items;
-        std::size_t left_waiting = 0; ///< pieces of the set that did not go with it
-        std::int64_t memory_left = 0; ///< bytes that the upstream was believed to have left
+        std::size_t left_waiting = 0; ///< pieces of the set that were left in the queue
+        std::int64_t memory_left = 0; ///< estimated free bytes at the upstream
     };
 
     static WaitingPiece waiting_piece(const Order& order, PieceId id);
     RetryBudget new_budget() const;
-    Line& line_of(const std::string& set_name);
+    SetQueue& set_queue_of(const std::string& set_name);
     const UpstreamSet* find_set(const Snapshot& snapshot, const std::string& name) const;
-    void pump(const std::string& set_name);
+    void dispatch(const std::string& set_name);
     boost::asio::awaitable<void> run_call(std::string set_name, SnapshotPtr snapshot,
                                           PieceCall call);
     std::vector<PieceItem> items_of(const PieceCall& call, Micros now) const;
     CallOptions options_of(const UpstreamSet& set, const PieceCall& call, Micros now) const;
-    /// Empty unless the call was answered as a whole.
+    /// Empty unless the call as a whole was answered.
     std::vector<PieceResult> results_of(const CallResult& result) const;
     std::int64_t free_bytes(const UpstreamSet& set, const PieceCall& call);
     void log_call(const UpstreamSet& set, const PieceCall& call, const SentCall& sent,
                   const CallResult& result, const std::vector<PieceResult>& results);
-    boost::asio::awaitable<void> pump_later(std::string set_name, Micros pause);
+    boost::asio::awaitable<void> dispatch_later(std::string set_name, Micros pause);
     void settle_call(const UpstreamSet& set, const PieceCall& call,
                      const std::vector<PieceResult>& results, std::int64_t memory_left);
     void settle_failed_call(const std::string& set_name, const PieceCall& call,
                             CallStatus status, const UpstreamAnswer& said);
     void settle(const std::string& set_name, PieceId id, const PieceResult& result);
-    /// `arrived`: the last call may have reached an upstream; `last`: what it said.
-    void queue_again(const std::string& set_name, PieceId id, bool arrived,
-                     PieceOutcome last);
+    /// `arrived`: the last call may have reached an upstream; `last`: its outcome.
+    void requeue(const std::string& set_name, PieceId id, bool arrived, PieceOutcome last);
     void finish(PieceId id, const PieceResult& result);
     void cancel(const std::shared_ptr<Order>& order);
 
@@ -108,7 +106,7 @@
     Kernel& m_kernel;
     FreeResult m_free_result;
     HttpClient m_client;
-    std::map<std::string, Line> m_lines;
+    std::map<std::string, SetQueue> m_set_queues;
     std::unordered_map<PieceId, Piece> m_pieces;
     PieceId m_next = 1;
 };
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -24,12 +24,12 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Daemons that one stage's order goes to, one after the other.
-constexpr int kMaxPlaces = 3;
-/// A stage that could start less than this later starts now: about the time of the
-/// messages of one order.
-constexpr Micros kLeastHold = 20 * kMillisecond;
-/// Longer than any slack: nothing is held back.
+/// Maximum number of daemons that the order for one stage is sent to, one after the other.
+constexpr int kMaxLeadersTried = 3;
+/// A stage that may start later by less than this starts now: about the time of the
+/// messages for one order.
+constexpr Micros kMinHold = 20 * kMillisecond;
+/// Longer than any slack: no stage is held back.
 constexpr Micros kNoHold = std::numeric_limits<Micros>::max();
 
 } // namespace
@@ -39,7 +39,7 @@
     , m_kernel(kernel)
     , m_leader(io, kernel,
                [this](const std::string& set_name, const std::string& handle) {
-                   free_now({{set_name, handle}});
+                   queue_releases({{set_name, handle}});
                })
     , m_link(io, kernel)
     , m_peers(io, kernel, m_link)
@@ -50,21 +50,21 @@
 }
 
 void
-PieceService::take_daemons(std::vector<DaemonRecord> records)
+PieceService::set_daemons(std::vector<DaemonRecord> records)
 {
     asio::post(m_io, [this, records = std::move(records)] { m_peers.take(records); });
 }
 
 void
-PieceService::take_unreachable(std::set<std::string> addresses)
+PieceService::set_unreachable(std::set<std::string> addresses)
 {
-    asio::post(m_io, [this, told = std::move(addresses)]() mutable {
-        m_peers.take_unreachable(std::move(told));
+    asio::post(m_io, [this, unreachable = std::move(addresses)]() mutable {
+        m_peers.set_unreachable(std::move(unreachable));
     });
 }
 
 void
-PieceService::want(std::uint64_t request, PiecesWanted wanted, Done done)
+PieceService::want(std::uint64_t request, PiecesRequest wanted, Done done)
 {
     asio::post(
         m_io,
@@ -102,9 +102,9 @@
         job->near = engine.hall;
     }
     while (!job->failed && !job->cancelled && !job->plan.is_done()) {
-        const bool holds = uses(Mechanism::LatestStart);
+        const bool may_hold = uses(Mechanism::LatestStart);
         const ReadyStages ready = job->plan.take_due(job->time_left(monotonic_us()),
-                                                     holds ? kLeastHold : kNoHold);
+                                                     may_hold ? kMinHold : kNoHold);
         for (const std::size_t stage : ready.now) {
             ++job->running;
             job->started_at[stage] = monotonic_us();
@@ -117,15 +117,15 @@
         else
             job->changed.expires_at(BootTimer::time_point::max());
         co_await job->changed.async_wait(kToTuple);
-        free_now(job->with_sets(job->plan.take_releasable()));
+        queue_releases(job->with_set_names(job->plan.take_releasable()));
     }
-    PiecesMade result;
+    PiecesResult result;
     result.made = job->plan.is_done() && !job->cancelled;
     if (result.made) {
         const auto inputs = job->plan.final_inputs();
-        result.inputs = job->with_sets(inputs);
+        result.inputs = job->with_set_names(inputs);
         const BytesByHall bytes = job->bytes_by_hall(inputs, *m_kernel.calls);
-        result.hall = main_hall(bytes);
+        result.hall = hall_with_most_bytes(bytes);
         if (!job->wanted.reader_set.empty()) {
             const std::string near
                 = result.hall.empty() ? m_kernel.settings.hall : result.hall;
@@ -146,7 +146,7 @@
             handle->cancel();
         for (const auto& ticket : job->tickets)
             ticket->cancel();
-        free_now(job->with_sets(job->plan.unreleased()));
+        queue_releases(job->with_set_names(job->plan.unreleased()));
     }
     if (!job->cancelled)
         job->done(std::move(result));
@@ -173,7 +173,7 @@
                 handles.push_back(result.handle);
                 continue;
             }
-            // The pieces that were cancelled because of one say less than that one.
+            // Pieces that were cancelled because another one failed say less than that one.
             if (made || result.outcome != PieceOutcome::Failed)
                 why = to_string(result.outcome);
             made = false;
@@ -199,24 +199,25 @@
     }
     const bool is_over = job->failed || job->cancelled;
     if (made && !is_over) {
-        job->plan.stage_made(stage, std::move(handles));
+        job->plan.set_stage_results(stage, std::move(handles));
     } else {
         job->failed = true;
         std::vector<PieceHandle> useless;
         useless.reserve(handles.size());
         for (std::string& handle : handles)
             useless.push_back({job->set_of(stage).spec.name, std::move(handle)});
-        free_now(useless);
+        queue_releases(useless);
     }
     job->changed.cancel();
 }
 
-/// Hands an order to the daemon that leads the set, or to the next if it is silent.
+/// Sends an order to the daemon that leads the set, or to the next if that does not
+/// respond.
 asio::awaitable<Result<PieceAnswer>>
 PieceService::order(JobPtr job, PieceOrder order)
 {
     const std::string set_name = order.upstream_set;
-    for (int place = 0; place < kMaxPlaces; ++place) {
+    for (int place = 0; place < kMaxLeadersTried; ++place) {
         PieceOrder copy = order;
         copy.time_left = job->wanted.deadline - monotonic_us();
         copy.due_left = order.due_left - monotonic_us();
@@ -228,7 +229,7 @@
             job->tickets.insert(ticket);
             PieceAnswer own = co_await m_leader.make(std::move(copy), ticket);
             job->tickets.erase(ticket);
-            note_wait(*job, set_name, own.expected_wait);
+            record_wait(*job, set_name, own.expected_wait);
             co_return own;
         }
         auto handle = std::make_shared<CallHandle>();
@@ -237,10 +238,10 @@
         job->calls.erase(handle);
         if (answer) {
             m_peers.note_answer(leader);
-            note_wait(*job, set_name, answer->expected_wait);
+            record_wait(*job, set_name, answer->expected_wait);
             co_return answer;
         }
-        // An order that was cancelled here, or ran out of time, says nothing about
+        // An order that was cancelled here, or that timed out, does not indicate a fault of
         // the leader.
         const bool is_over
             = job->cancelled || job->failed || monotonic_us() >= job->wanted.deadline;
@@ -255,14 +256,15 @@
     co_return fail(ErrorKind::UpstreamFailed);
 }
 
-/// What this daemon tells the leader of the set about the prompt, and about engines.
+/// The query to the leader of the set, with the prompt and this daemon's reports on
+/// engines.
 PlaceQuery
 PieceService::place_query(const PieceJob& job) const
 {
     const Micros now = monotonic_us();
     PlaceQuery query {job.wanted.reader_set, job.wanted.prompt};
     query.prompt.from = m_kernel.settings.hall;
-    query.prompt.avoid = job.unusable(now);
+    query.prompt.avoid = job.unusable_engines(now);
     query.prompt.limits = job.limit_words(now);
     query.prompt.halls = job.wanted.halls;
     if (job.wanted.follows_prompt)
@@ -271,8 +273,8 @@
     return query;
 }
 
-/// Asks whoever leads the set which upstream is to read the request's prompt.  No
-/// answer leaves the choice to the router.
+/// Requests from the set's leader a choice of the upstream that reads the request's prompt.
+/// If the leader does not respond, the router chooses.
 asio::awaitable<PlaceAnswer>
 PieceService::place(JobPtr job, std::string near, std::int64_t near_bytes, bool reserve)
 {
@@ -294,40 +296,40 @@
 }
 
 void
-PieceService::note_wait(const PieceJob& job, const std::string& set_name, Micros wait)
+PieceService::record_wait(const PieceJob& job, const std::string& set_name, Micros wait)
 {
     for (std::size_t at = 0; at < job.resolved().piece_sets.size(); ++at)
         if (job.set_of(at).spec.name == set_name)
             job.set_of(at).load->tell(job.wanted.priority, wait, monotonic_us());
 }
 
-// ------------------------------------------------------------- housekeeping
+// ----------------------------------------------------------------- releases
 
 void
 PieceService::free_results(std::vector<PieceHandle> results)
 {
     if (results.empty())
         return;
-    asio::post(m_io, [this, results = std::move(results)] { free_now(results); });
+    asio::post(m_io, [this, results = std::move(results)] { queue_releases(results); });
 }
 
 void
-PieceService::free_now(const std::vector<PieceHandle>& results)
+PieceService::queue_releases(const std::vector<PieceHandle>& results)
 {
     for (const PieceHandle& result : results)
         m_outbox.add_result(result.upstream_set, result.handle);
 }
 
 void
-PieceService::note_begun(std::string set_name, std::string attempt)
+PieceService::on_answer_started(std::string set_name, std::string attempt)
 {
     asio::post(m_io, [this, set_name = std::move(set_name), attempt = std::move(attempt)] {
-        m_outbox.add_begun(set_name, attempt);
+        m_outbox.add_started(set_name, attempt);
     });
 }
 
 void
-PieceService::note_ended(std::string set_name, std::string attempt)
+PieceService::record_ended(std::string set_name, std::string attempt)
 {
     asio::post(m_io, [this, set_name = std::move(set_name), attempt = std::move(attempt)] {
         m_outbox.add_ended(set_name, attempt);
@@ -335,21 +337,21 @@
 }
 
 void
-PieceService::note_unreached(std::string set_name, std::string attempt)
+PieceService::record_unreachable(std::string set_name, std::string attempt)
 {
     asio::post(m_io, [this, set_name = std::move(set_name), attempt = std::move(attempt)] {
-        m_outbox.add_unreached(set_name, attempt);
+        m_outbox.add_unreachable(set_name, attempt);
     });
 }
 
-/// The daemon that leads the set releases results at their keepers, so that it
-/// knows what memory there is; if it is silent, they are released from here.
+/// The daemon that leads the set releases results at their holders, so that its records of
+/// free memory are right.  If it does not respond, this daemon releases them.
 asio::awaitable<void>
 PieceService::tell_releases(Releases releases)
 {
     const std::string leader = m_peers.leader_of(releases.upstream_set);
-    const bool told = !leader.empty() && co_await m_link.tell_releases(leader, releases);
-    if (!told)
+    const bool sent = !leader.empty() && co_await m_link.tell_releases(leader, releases);
+    if (!sent)
         m_leader.take_releases(releases);
 }
 
--- a/src/libserve/pieces/piece_service.h
+++ b/src/libserve/pieces/piece_service.h
@@ -25,9 +25,9 @@
 
 namespace cypressford {
 
-/// Has the pieces of requests made: each stage's at the daemon that leads its
-/// upstream set, so that pieces of all daemons share calls.  Lives on the thread
-/// of the first worker; the public members may be called from any thread.
+/// Makes the pieces of requests: each stage is ordered from the daemon that leads its
+/// upstream set, so that pieces of all daemons share calls.  Runs on the thread of the
+/// first worker; the public members may be called from any thread.
 class PieceService {
 public:
     using Done = PieceJob::Done;
@@ -37,18 +37,18 @@
     /// Binds the address for other daemons.
     Result<void> listen(const std::string& address) { return m_leader.listen(address); }
 
-    void want(std::uint64_t request, PiecesWanted wanted, Done done);
+    void want(std::uint64_t request, PiecesRequest wanted, Done done);
     void cancel(std::uint64_t request);
-    /// Results that nobody will read any more.
+    /// Releases results that have no remaining reader.
     void free_results(std::vector<PieceHandle> results);
-    /// The answer of a request began, or ended, at the set.
-    void note_begun(std::string set_name, std::string attempt);
-    void note_ended(std::string set_name, std::string attempt);
-    /// A request could not be given to the upstream chosen for it.
-    void note_unreached(std::string set_name, std::string attempt);
-    void take_daemons(std::vector<DaemonRecord> records);
-    /// Daemons that don't answer the reader of this one's hall, and no others.
-    void take_unreachable(std::set<std::string> addresses);
+    /// The answer of a request started, or ended, at the set.
+    void on_answer_started(std::string set_name, std::string attempt);
+    void record_ended(std::string set_name, std::string attempt);
+    /// A request did not reach the upstream chosen for it.
+    void record_unreachable(std::string set_name, std::string attempt);
+    void set_daemons(std::vector<DaemonRecord> records);
+    /// Replaces the addresses of the daemons that the reader of this hall cannot reach.
+    void set_unreachable(std::set<std::string> addresses);
 
     /// To be called on the service's own thread.
     bool is_idle() const { return m_jobs.empty() && m_leader.is_idle(); }
@@ -66,9 +66,9 @@
     PlaceQuery place_query(const PieceJob& job) const;
     boost::asio::awaitable<PlaceAnswer> place(JobPtr job, std::string near,
                                               std::int64_t near_bytes, bool reserve);
-    void free_now(const std::vector<PieceHandle>& results);
+    void queue_releases(const std::vector<PieceHandle>& results);
     boost::asio::awaitable<void> tell_releases(Releases releases);
-    void note_wait(const PieceJob& job, const std::string& set_name, Micros wait);
+    void record_wait(const PieceJob& job, const std::string& set_name, Micros wait);
 
     boost::asio::io_context& m_io;
     Kernel& m_kernel;
--- a/src/libserve/pieces/release_outbox.cpp
+++ b/src/libserve/pieces/release_outbox.cpp
@@ -20,15 +20,15 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Releases wait so long for others of the same set: a leader gets 200 messages a second
-/// of one daemon at most.
+/// Time for which releases wait for others of the same set: limits the messages of one
+/// daemon to a leader to 200 a second.
 constexpr std::chrono::milliseconds kLinger {5};
 
 } // namespace
 
-ReleaseOutbox::ReleaseOutbox(asio::io_context& io, Tell tell)
+ReleaseOutbox::ReleaseOutbox(asio::io_context& io, Send send)
     : m_io(io)
-    , m_tell(std::move(tell))
+    , m_send(std::move(send))
 {
 }
 
@@ -39,9 +39,9 @@
 }
 
 void
-ReleaseOutbox::add_begun(const std::string& set_name, std::string attempt)
+ReleaseOutbox::add_started(const std::string& set_name, std::string attempt)
 {
-    of(set_name).begun.push_back(std::move(attempt));
+    of(set_name).started.push_back(std::move(attempt));
 }
 
 void
@@ -51,9 +51,9 @@
 }
 
 void
-ReleaseOutbox::add_unreached(const std::string& set_name, std::string attempt)
+ReleaseOutbox::add_unreachable(const std::string& set_name, std::string attempt)
 {
-    of(set_name).unreached.push_back(std::move(attempt));
+    of(set_name).unreachable.push_back(std::move(attempt));
 }
 
 Releases&
@@ -76,7 +76,7 @@
     co_await timer.async_wait(kToTuple);
     m_flushing = false;
     for (auto& [set_name, releases] : std::exchange(m_releases, {}))
-        m_tell(std::move(releases));
+        m_send(std::move(releases));
 }
 
 } // namespace cypressford
--- a/src/libserve/pieces/release_outbox.h
+++ b/src/libserve/pieces/release_outbox.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Gathers what requests are done with, so that one message tells the leader of a set of
-/// many results.
+/// Batches releases of results and reports on requests, so that the leader of a set gets
+/// one message for many of them.
 
 #pragma once
 
@@ -18,28 +18,28 @@
 
 namespace cypressford {
 
-/// Lives on the thread of its io_context.
+/// Runs on the thread of its io_context.
 class ReleaseOutbox {
 public:
-    using Tell = std::function<void(Releases)>;
+    using Send = std::function<void(Releases)>;
 
-    /// `tell` gets the releases of one set at a time, some milliseconds after the first.
-    ReleaseOutbox(boost::asio::io_context& io, Tell tell);
+    /// `send` is called with the releases of one set, some milliseconds after the first.
+    ReleaseOutbox(boost::asio::io_context& io, Send send);
 
-    /// A result that nobody will read any more.
+    /// A result without a remaining reader.
     void add_result(const std::string& set_name, std::string handle);
-    /// The answer of a request began, or ended, at the set.
-    void add_begun(const std::string& set_name, std::string attempt);
+    /// The answer of a request started, or ended, at the set.
+    void add_started(const std::string& set_name, std::string attempt);
     void add_ended(const std::string& set_name, std::string attempt);
-    /// A request could not be given to the upstream chosen for it.
-    void add_unreached(const std::string& set_name, std::string attempt);
+    /// A request did not reach the upstream chosen for it.
+    void add_unreachable(const std::string& set_name, std::string attempt);
 
 private:
     Releases& of(const std::string& set_name);
     boost::asio::awaitable<void> flush();
 
     boost::asio::io_context& m_io;
-    Tell m_tell;
+    Send m_send;
     std::map<std::string, Releases> m_releases; ///< by upstream set
     bool m_flushing = false;
 };
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -25,14 +25,14 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Results that are not released lapse by themselves, so a lost call costs memory only.
-constexpr Micros kWaitLimit = 500 * kMillisecond;
-/// Between two looks at whether a keeper is open again, at least.
-constexpr Micros kLeastWait = kMillisecond;
+/// Results that are not released expire by themselves, so a lost call costs memory only.
+constexpr Micros kReleaseTimeout = 500 * kMillisecond;
+/// Minimum interval between checks whether a holder accepts calls again.
+constexpr Micros kMinPollInterval = kMillisecond;
 
 } // namespace
 
-ResultKeepers::ResultKeepers(asio::io_context& io, Kernel& kernel, OnFreed on_freed)
+ResultHolders::ResultHolders(asio::io_context& io, Kernel& kernel, OnFreed on_freed)
     : m_io(io)
     , m_kernel(kernel)
     , m_on_freed(std::move(on_freed))
@@ -41,19 +41,19 @@
 }
 
 void
-ResultKeepers::free(const Releases& releases)
+ResultHolders::free(const Releases& releases)
 {
-    std::map<std::string, Releases> by_keeper;
+    std::map<std::string, Releases> by_holder;
     for (const std::string& handle : releases.handles) {
-        Releases& at_keeper = by_keeper[m_kernel.calls->keeper_of(handle)];
-        at_keeper.upstream_set = releases.upstream_set;
-        at_keeper.handles.push_back(handle);
+        Releases& at_holder = by_holder[m_kernel.calls->keeper_of(handle)];
+        at_holder.upstream_set = releases.upstream_set;
+        at_holder.handles.push_back(handle);
     }
-    for (auto& [keeper, releases] : by_keeper) {
-        // One call takes all that gathers until its keeper is open.
-        const auto [held, is_first] = m_held.try_emplace(keeper, std::move(releases));
+    for (auto& [holder, releases] : by_holder) {
+        // One call takes all releases that accumulate until its holder accepts calls.
+        const auto [held, is_first] = m_held.try_emplace(holder, std::move(releases));
         if (is_first)
-            asio::co_spawn(m_io, free_at(keeper), asio::detached);
+            asio::co_spawn(m_io, free_at(holder), asio::detached);
         else
             held->second.handles.insert(held->second.handles.end(),
                                         releases.handles.begin(), releases.handles.end());
@@ -62,7 +62,7 @@
 
 /// The newest run at that address, or null if the set has none there.
 UpstreamPtr
-ResultKeepers::find_keeper(const std::string& set_name, const std::string& address) const
+ResultHolders::find_holder(const std::string& set_name, const std::string& address) const
 {
     UpstreamPtr found;
     const SnapshotPtr snapshot = m_kernel.snapshot.load();
@@ -80,32 +80,34 @@
     return found;
 }
 
-/// A keeper that rests wants no releases either, and one that names a limit counts them
-/// like calls.  Nothing is sent there meanwhile, so its memory is not needed before.
+/// A holder that is backed off accepts no releases either, and a holder with a rate limit
+/// counts them as calls.  No call is sent there meanwhile, so its memory is not needed
+/// before.
 asio::awaitable<void>
-ResultKeepers::wait_until_open(UpstreamPtr keeper)
+ResultHolders::wait_until_open(UpstreamPtr holder)
 {
     for (;;) {
         const Micros now = monotonic_us();
-        const Micros opens = closed_until(*keeper, RatePart::Granted);
-        if (opens <= now && keeper->said->limit().take(RatePart::Granted, now))
+        const Micros opens = closed_until(*holder, RatePart::Granted);
+        if (opens <= now && holder->said->limit().take(RatePart::Granted, now))
             co_return;
         BootTimer timer(m_io);
-        timer.expires_after(std::chrono::microseconds(std::max(opens - now, kLeastWait)));
+        timer.expires_after(
+            std::chrono::microseconds(std::max(opens - now, kMinPollInterval)));
         co_await timer.async_wait(kToTuple);
     }
 }
 
 asio::awaitable<void>
-ResultKeepers::free_at(std::string keeper)
+ResultHolders::free_at(std::string holder)
 {
-    const UpstreamPtr upstream = find_keeper(m_held.at(keeper).upstream_set, keeper);
+    const UpstreamPtr upstream = find_holder(m_held.at(holder).upstream_set, holder);
     if (upstream)
         co_await wait_until_open(upstream);
-    const Releases releases = std::move(m_held.extract(keeper).mapped());
+    const Releases releases = std::move(m_held.extract(holder).mapped());
     const Micros sent = monotonic_us();
     CallOptions options;
-    options.deadline_us = sent + kWaitLimit;
+    options.deadline_us = sent + kReleaseTimeout;
     options.send_clock = false;
     options.on_answer = [&](const HttpResponse& head, Micros connected) {
         if (upstream)
@@ -113,14 +115,14 @@
                  {sent, connected, "release"});
     };
     const CallResult result = co_await m_client.call(
-        keeper, m_kernel.calls->free_results(releases.handles), std::move(options));
+        holder, m_kernel.calls->free_results(releases.handles), std::move(options));
     if (result.status == CallStatus::Answered) {
         m_on_freed(releases);
         co_return;
     }
     LogEvent("release_lost", LogLevel::Warn)
         .kv("set", releases.upstream_set)
-        .kv("upstream", keeper)
+        .kv("upstream", holder)
         .kv("results", releases.handles.size());
 }
 
--- a/src/libserve/pieces/result_keepers.h
+++ b/src/libserve/pieces/result_keepers.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Gives results up at the upstreams that keep them.
+/// Releases results at the upstreams that hold them.
 
 #pragma once
 
@@ -20,28 +20,28 @@
 
 namespace cypressford {
 
-/// Lives on the thread of its io_context.
-class ResultKeepers {
+/// Runs on the thread of its io_context.
+class ResultHolders {
 public:
     using OnFreed = std::function<void(const Releases&)>;
 
-    /// `on_freed` is called once a keeper has answered: a call that is sent on the
-    /// strength of the memory must not come there before.
-    ResultKeepers(boost::asio::io_context& io, Kernel& kernel, OnFreed on_freed);
+    /// `on_freed` is called once a holder has answered, because a call that relies on the
+    /// freed memory must not arrive there before.
+    ResultHolders(boost::asio::io_context& io, Kernel& kernel, OnFreed on_freed);
 
-    /// Gives the results up, one call for each keeper.
+    /// Releases the results, with one call for each holder.
     void free(const Releases& releases);
 
 private:
-    UpstreamPtr find_keeper(const std::string& set_name, const std::string& address) const;
-    boost::asio::awaitable<void> wait_until_open(UpstreamPtr keeper);
-    boost::asio::awaitable<void> free_at(std::string keeper);
+    UpstreamPtr find_holder(const std::string& set_name, const std::string& address) const;
+    boost::asio::awaitable<void> wait_until_open(UpstreamPtr holder);
+    boost::asio::awaitable<void> free_at(std::string holder);
 
     boost::asio::io_context& m_io;
     Kernel& m_kernel;
     OnFreed m_on_freed;
     HttpClient m_client;
-    std::map<std::string, Releases> m_held; ///< by keeper, not sent yet
+    std::map<std::string, Releases> m_held; ///< not sent yet, by holder
 };
 
 } // namespace cypressford
--- a/src/libserve/pieces/set_leader.cpp
+++ b/src/libserve/pieces/set_leader.cpp
@@ -26,7 +26,7 @@
                      PieceMaker::FreeResult free_result)
     : m_kernel(kernel)
     , m_maker(io, kernel, std::move(free_result))
-    , m_keepers(io, kernel, [this](const Releases& freed) { m_maker.note_releases(freed); })
+    , m_holders(io, kernel, [this](const Releases& freed) { m_maker.on_releases(freed); })
     , m_server(
           io, kernel.settings.limits,
           [this](HttpExchange& exchange) { return serve(exchange); },
@@ -70,7 +70,7 @@
     } else if (path == PeerLink::kAlivePath) {
         HttpResponse alive;
         alive.content_type = "text/plain";
-        // Without a configuration it can lead nothing.
+        // Without a configuration this daemon cannot lead any set.
         const bool leads = !m_kernel.stopping.load() && m_kernel.snapshot.load();
         alive.status = leads ? kOk : kUnavailable;
         co_await exchange.respond(std::move(alive));
@@ -83,8 +83,8 @@
 SetLeader::serve_order(HttpExchange& exchange)
 {
     auto order = decode_piece_order(exchange.request().body);
-    const bool takes = order && !m_kernel.stopping.load() && m_kernel.snapshot.load();
-    if (!takes) {
+    const bool accepts = order && !m_kernel.stopping.load() && m_kernel.snapshot.load();
+    if (!accepts) {
         const ErrorKind kind = order ? ErrorKind::Stopping : ErrorKind::BadRequest;
         co_await exchange.respond(problem_response(problem_of(kind)));
         co_return;
@@ -128,7 +128,7 @@
                 .kv("limit_per_s", upstream->said->limit().per_s())
                 .kv("tokens", query.prompt.tokens)
                 .kv("unread", placer.last_read().unread)
-                .kv("again", placer.last_read().again);
+                .kv("again", placer.last_read().reread);
         return answer;
     }
     return {};
@@ -139,14 +139,14 @@
 {
     if (const auto placer = m_placers.find(releases.upstream_set);
         placer != m_placers.end()) {
-        for (const std::string& attempt : releases.unreached)
-            placer->second.note_unreached(attempt, monotonic_us());
-        for (const std::string& attempt : releases.begun)
-            placer->second.note_begun(attempt);
+        for (const std::string& attempt : releases.unreachable)
+            placer->second.record_unreachable(attempt, monotonic_us());
+        for (const std::string& attempt : releases.started)
+            placer->second.on_answer_started(attempt);
         for (const std::string& attempt : releases.ended)
-            placer->second.note_ended(attempt);
+            placer->second.record_ended(attempt);
     }
-    m_keepers.free(releases);
+    m_holders.free(releases);
 }
 
 } // namespace cypressford
--- a/src/libserve/pieces/set_leader.h
+++ b/src/libserve/pieces/set_leader.h
@@ -20,8 +20,8 @@
 
 namespace cypressford {
 
-/// What this daemon does for all daemons as the leader of upstream sets: makes pieces,
-/// places prompts, and keeps account of what is released.  Lives on one thread.
+/// Serves all daemons as the leader of upstream sets: makes pieces, places prompts, and
+/// processes releases.  Runs on one thread.
 class SetLeader {
 public:
     SetLeader(boost::asio::io_context& io, Kernel& kernel,
@@ -30,7 +30,7 @@
     /// Binds the address for other daemons.
     Result<void> listen(const std::string& address);
 
-    /// Ends when every piece of the order is made or has failed.
+    /// Completes when every piece of the order is made or one has failed.
     boost::asio::awaitable<PieceAnswer> make(PieceOrder order,
                                              std::shared_ptr<PieceMaker::Ticket> ticket);
     PlaceAnswer place(const PlaceQuery& query);
@@ -44,7 +44,7 @@
 
     Kernel& m_kernel;
     PieceMaker m_maker;
-    ResultKeepers m_keepers;
+    ResultHolders m_holders;
     HttpServer m_server;
     std::map<std::string, PromptPlacer> m_placers; ///< by upstream set
 };
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -336,7 +336,7 @@
     relay.first_byte = monotonic_us() - call.sent_at;
     call.context->resolved().state->note_first_byte(relay.first_byte);
     if (call.context->spec.asks_leader)
-        m_kernel.pieces->note_begun(call.context->set_name(), relay.call.attempt);
+        m_kernel.pieces->on_answer_started(call.context->set_name(), relay.call.attempt);
     feed(InputsRead {call.send.attempt});
 }
 
--- a/testsuite/fuzz/directory_world.h
+++ b/testsuite/fuzz/directory_world.h
@@ -341,12 +341,12 @@
             return;
         daemon.view->hear_generation(reply.answer.generation, m_now);
         if (daemon.view->generation() == reply.answer.generation)
-            note_ended(daemon, reply.answer);
+            record_ended(daemon, reply.answer);
         const auto answer = decode_feed_answer(encode(reply.answer));
         daemon.view->take_answer(*answer, reply.question.asked_at, m_now);
     }
 
-    static void note_ended(Daemon& daemon, const FeedAnswer& answer)
+    static void record_ended(Daemon& daemon, const FeedAnswer& answer)
     {
         for (const FeedAnswer::Topic& topic : answer.topics) {
             const TopicView& known = daemon.view->of(topic.topic);
--- a/testsuite/fuzz/relay_world.cpp
+++ b/testsuite/fuzz/relay_world.cpp
@@ -294,7 +294,7 @@
         end_preparation(id, false);
         return;
     }
-    plan.stage_made(stage, make_pieces(facts.counts[stage]));
+    plan.set_stage_results(stage, make_pieces(facts.counts[stage]));
     release(plan.take_releasable());
     if (plan.is_done())
         end_preparation(id, true);
