--- a/src/bench/bench_directory.cpp
+++ b/src/bench/bench_directory.cpp
@@ -168,7 +168,7 @@
         auto view
             = std::make_unique<DirectoryView>(dialect, pace, kGrace, "n", "hall-0", 400, 0);
         view->begin_listing(DirectoryTopic::Upstreams, 0);
-        view->take_listed(DirectoryTopic::Upstreams, records, 0);
+        view->apply_listed(DirectoryTopic::Upstreams, records, 0);
         view->end_listing(DirectoryTopic::Upstreams, state.range(0), 0, 0);
         benchmark::DoNotOptimize(view->fold().take_changes());
         return view;
@@ -184,14 +184,14 @@
     const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
     DirectoryView view(dialect, pace, kGrace, "n", "hall-0", 400, 0);
     view.begin_listing(DirectoryTopic::Upstreams, 0);
-    view.take_listed(DirectoryTopic::Upstreams, records, 0);
+    view.apply_listed(DirectoryTopic::Upstreams, records, 0);
     view.end_listing(DirectoryTopic::Upstreams, state.range(0), 0, 0);
     Offset next = state.range(0);
     int sequence = 1;
     for (auto _ : state) {
         const std::vector<DirectoryRecord> page {record_of(0, ++sequence)};
         benchmark::DoNotOptimize(
-            view.take_page(DirectoryTopic::Upstreams, next++, page, 0, 0, 0));
+            view.apply_page(DirectoryTopic::Upstreams, next++, page, 0, 0, 0));
     }
 }
 
--- a/src/include/cypressford/daemon_table.h
+++ b/src/include/cypressford/daemon_table.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The daemons of the system as the directory lists them, and which of them
-/// leads an upstream set.
+/// The daemons listed in the directory: which of them are alive, which one leads an
+/// upstream set, and which ones read the directory for the others.
 
 #pragma once
 
@@ -17,62 +17,63 @@
 
 namespace cypressford {
 
-/// Whom a daemon hears of the directory from.  One daemon of the fleet reads it, one of
-/// each part of a hall asks that one, and the others ask the reader of their part: a fleet
-/// of 295 makes 2.6 calls a second so, and 26 if each of its ten readers reads by itself.
+/// A daemon's place in the distribution of the directory.  One daemon of the fleet reads
+/// the directory, one reader for each part of a hall queries that daemon, and the others
+/// query the reader of their part.  A fleet of 295 daemons thus makes 2.6 calls a second,
+/// and 26 if each of its ten readers reads the directory by itself.
 enum class DirectoryRole : unsigned char {
-    Fresh, ///< knows no daemon yet, not even its own record: reads only who there are
+    Fresh, ///< no daemon is known yet, not even this one's record: reads only the daemons
     Root, ///< reads the directory itself
-    HallReader, ///< asks the root reader, and is asked by its part of the hall
+    HallReader, ///< queries the root reader, and serves its part of the hall
     Follower
 };
 
 /// For logs.
 std::string_view to_string(DirectoryRole role);
 
-/// A role, and whom it asks.
+/// A role, and the source of the directory's records in that role.
 struct DirectorySource {
     DirectoryRole role = DirectoryRole::Root;
-    std::optional<DaemonRecord> daemon; ///< nothing: the directory itself
+    std::optional<DaemonRecord>
+        daemon; ///< the daemon to query; nothing: the directory itself
 };
 
-/// What a daemon that knows no other is told by one that does.
+/// Refers a daemon that knows no other daemon to those it should query.
 struct DirectoryReferral {
-    DirectoryRole role = DirectoryRole::Fresh; ///< of the daemon that is told
-    std::vector<DaemonRecord> ask; ///< the first of these that answers
-    int alive = 0; ///< daemons of the fleet, as far as the one that tells knows
+    DirectoryRole role = DirectoryRole::Fresh; ///< of the daemon that is referred
+    std::vector<DaemonRecord> ask; ///< in order of preference: query the first that answers
+    int alive = 0; ///< daemons of the fleet, as far as the referring daemon knows
 };
 
-/// Records of daemons, with the time each was last seen to change.  A lead is no
-/// lock: two daemons that lead the same set cost calls that are less full, and
-/// nothing else.
+/// Records of daemons, with the time at which each last changed.  Leadership is not a
+/// lock: two daemons that lead the same set only make more, smaller calls.
 class DaemonTable {
 public:
-    DaemonTable(std::string own_node, Micros silent_after)
+    DaemonTable(std::string own_node, Micros record_timeout)
         : m_own_node(std::move(own_node))
-        , m_silent_after(silent_after)
+        , m_record_timeout(record_timeout)
     {
     }
 
-    /// True if the record is news.
+    /// True if the record is newer than the known one.
     bool apply(const DaemonRecord& record, Micros now);
 
-    /// True if another start of that daemon is known than the record is of.
-    bool knows_other_start(const DaemonRecord& record) const;
+    /// True if another incarnation of that daemon is known than that of the record.
+    bool knows_other_incarnation(const DaemonRecord& record) const;
 
-    /// The directory was read: who has no new record by now has written none.  While
-    /// it can't be read, nobody becomes silent by that.
-    void note_read(Micros now);
+    /// The directory was read: a daemon without a new record by now has written none.
+    /// Records expire only here, so that none expires while the directory can't be read.
+    void on_directory_read(Micros now);
 
-    /// The daemon at that address answered, whatever the directory says.
-    void note_answer(const std::string& peers_address, Micros now);
+    /// The daemon at that address answered, which counts as a keepalive.
+    void record_response(const std::string& peers_address, Micros now);
     void drop(const std::string& node);
 
-    /// The daemon at that address does not answer; it leads nothing until it is
-    /// trusted again.  False if it was suspected before, or is not known.
+    /// The daemon at that address does not answer; it leads no set until trust() is
+    /// called.  False if it was suspected before, or is not known.
     bool suspect(const std::string& peers_address);
     void trust(const std::string& peers_address);
-    /// False also once the directory says that it is gone.
+    /// False also once the daemon's record has expired, or says that it is stopping.
     bool is_suspected(const std::string& peers_address) const;
 
     bool knows(const std::string& peers_address) const
@@ -80,41 +81,41 @@
         return m_nodes_at.contains(peers_address);
     }
 
-    /// Daemons that are alive, this one among them once it is listed.
+    /// Number of daemons that are alive, including this one once it is listed.
     int alive() const;
-    /// Alive daemons of one hall.
+    /// Number of daemons of one hall that are alive.
     int alive_in(std::string_view hall) const;
 
-    /// Address of the daemon that leads the set; empty for this daemon itself.  A lead
-    /// is work in one lump, so only nodes with at least half of the capacity of the
-    /// strongest get one.
+    /// Address of the daemon that leads the set; empty for this daemon itself.  The load of
+    /// a set's leadership can't be divided, so only nodes with at least half of the
+    /// capacity of the strongest are leaders.
     std::string leader_of(std::string_view set_name) const;
 
-    /// Addresses of the daemons that lead the set, now and when those before them go; not
-    /// this daemon's own.
+    /// Addresses of the current leader of the set and of its successors, in the order in
+    /// which they take over; without this daemon's own.
     std::vector<std::string> next_leaders(std::string_view set_name,
                                           std::size_t count) const;
 
-    /// The daemon that reads the directory for this one's part of the hall, a strong node;
-    /// nothing for this daemon itself.
+    /// The reader of this daemon's part of the hall, a strong node; nothing if that is this
+    /// daemon itself.
     std::optional<DaemonRecord> reader_of(std::string_view hall) const;
 
     /// The daemon that reads the directory for the readers of all halls, a strong node;
-    /// nothing for this daemon itself.
+    /// nothing if that is this daemon itself.
     std::optional<DaemonRecord> root_reader() const;
 
-    /// Whom this daemon, of that hall, asks.
+    /// The source of records for this daemon, which is in that hall.
     DirectorySource source_for(std::string_view hall) const;
 
-    /// Whom that daemon, which need not be known here, should ask.  `own`: this daemon's
-    /// record, which may not be listed yet.
-    DirectoryReferral refer(const DaemonRecord& asker, const DaemonRecord& own) const;
+    /// The daemons that `requester`, which need not be known here, should query.  `own`:
+    /// this daemon's record, which may not be listed yet.
+    DirectoryReferral refer(const DaemonRecord& requester, const DaemonRecord& own) const;
 
-    /// A daemon without a new record for so long is silent.
-    void set_silent_after(Micros time);
+    /// Sets the period without a new record after which a daemon counts as dead.
+    void set_record_timeout(Micros time);
 
-    /// Any node may lead, however weak.
-    void let_weak_nodes_lead();
+    /// Allows any node to lead, whatever its capacity.
+    void allow_weak_leaders();
 
 private:
     struct Known {
@@ -123,8 +124,8 @@
         bool suspected = false;
     };
 
-    /// What follows from all records, until one of them changes: each request asks for
-    /// leaders, and each look at the directory for its source.
+    /// Results derived from all records, cached until a record changes: each request looks
+    /// up leaders, and each check of the directory looks up the source.
     struct Derived {
         std::optional<int> alive;
         std::map<std::string, std::string, std::less<>> leaders; ///< by set
@@ -133,38 +134,38 @@
 
     bool is_alive(const Known& known) const;
     std::vector<const Known*> candidates() const;
-    /// Those that tell others of the directory, of one hall; of all if it is empty.
-    std::vector<const Known*> tellers(std::string_view hall) const;
+    /// Daemons of the hall that serve the directory's feed; of all halls if it is empty.
+    std::vector<const Known*> feed_daemons(std::string_view hall) const;
     std::string find_leader(std::string_view set_name) const;
     DirectorySource find_source(std::string_view hall) const;
-    void forget(const std::string& node);
+    void forget_address(const std::string& node);
     template <class F> void for_each_at(const std::string& peers_address, F&& action);
-    /// The first time at which a daemon that writes nothing more becomes silent.
-    Micros next_silence() const;
-    void forget_derived();
-    std::optional<DaemonRecord> other_than_this(const Known* known) const;
-    void keep_strong(std::vector<const Known*>& candidates) const;
-    /// The candidate with the highest random weight for that key; null for none.
+    /// The earliest time at which a record expires if no new ones arrive.
+    Micros next_expiry() const;
+    void invalidate_derived();
+    std::optional<DaemonRecord> unless_own(const Known* known) const;
+    void keep_strong_nodes(std::vector<const Known*>& candidates) const;
+    /// The candidate with the highest random weight for that key; null if there is none.
     static const Known* choose(const std::vector<const Known*>& candidates,
                                std::string_view key);
 
     const std::string m_own_node;
-    Micros m_silent_after;
+    Micros m_record_timeout;
     Micros m_read_at = 0;
     bool m_weak_nodes_lead = false;
     std::map<std::string, Known> m_daemons; ///< by node
-    std::multimap<std::string, std::string> m_nodes_at; ///< by address for other daemons
-    std::optional<Micros> m_next_silence; ///< nothing: to be found out
+    std::multimap<std::string, std::string> m_nodes_at; ///< by peers_address
+    std::optional<Micros> m_next_expiry; ///< nothing: not computed yet
     mutable Derived m_derived;
 };
 
-/// Between two records of one daemon, so that all of them together take a small part of
-/// the writes that the directory bears.
-Micros publish_pace(int daemons, double writes_per_s);
-/// A daemon without a new record for so long is silent.
-Micros silent_after(int daemons, double writes_per_s);
+/// Interval between two records of one daemon, such that the records of all daemons take a
+/// small part of the writes that the directory can process.
+Micros publish_interval(int daemons, double writes_per_s);
+/// Period without a new record after which a daemon counts as dead.
+Micros record_timeout(int daemons, double writes_per_s);
 
-/// The record as it lies in the directory.
+/// The record as stored in the directory.
 std::string encode(const DaemonRecord& record);
 Result<DaemonRecord> decode_daemon(std::string_view bytes);
 
--- a/src/include/cypressford/directory.h
+++ b/src/include/cypressford/directory.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A platform that keeps configuration, upstreams and daemons as records under
-/// keys of a log.  How it spells them is a plug-in's; what follows from them is
-/// decided by DirectoryFold.
+/// A platform that keeps configuration, upstreams and daemons as records under the keys of
+/// a log.  A DirectoryDialect plug-in defines names and formats; DirectoryFold derives the
+/// current state from the records.
 
 #pragma once
 
@@ -24,36 +24,36 @@
 
 namespace cypressford {
 
-/// Rises by one each time the log comes back from an older copy of itself; 0: not told.
-/// What was written since the copy is gone, and offsets are given out again.
+/// Incremented each time the log is restored from an older copy of itself; 0: not known.
+/// Records written since the copy are lost, and their offsets are reused.
 using LogGeneration = std::uint64_t;
 
-/// What is kept under keys.
+/// Kinds of records kept under keys.
 enum class DirectoryTopic : unsigned char { Configuration, Upstreams, Daemons, Suspects };
 
 /// The topic's name in logs.
 std::string_view to_string(DirectoryTopic topic);
 
-/// One record; a key without a value was dropped.
+/// One record; an empty value means that the key was deleted.
 struct DirectoryRecord {
     std::string key;
     std::string value;
-    Offset offset = -1; ///< in a listing: its place in the log
+    Offset offset = -1; ///< in a listing: its offset in the log
 };
 
 /// Records from one offset on, or the newest record of each key.
 struct DirectoryPage {
     std::vector<DirectoryRecord> records;
-    Offset end = 0; ///< where the topic ends
-    bool more = false; ///< newest: further keys follow behind the last one here
-    bool history_lost = false; ///< read: records from that offset on are gone
+    Offset end = 0; ///< end of the topic
+    bool more = false; ///< newest: further keys follow the last one here
+    bool history_lost = false; ///< read: records from that offset on are no longer stored
 };
 
 /// An upstream's own record.
 struct UpstreamRecord {
     UpstreamMember member;
-    std::uint64_t sequence = 0; ///< counts the records of one run
-    Micros cold_left = 0; ///< it was cold for so long yet when it wrote this
+    std::uint64_t sequence = 0; ///< number of the record within one run
+    Micros cold_left = 0; ///< remaining cold time when the record was written
 };
 
 /// A daemon's own record.
@@ -61,14 +61,14 @@
     std::string node;
     std::string hall;
     std::string peers_address; ///< "ip:port" for other daemons
-    std::uint64_t incarnation = 0; ///< 0: the daemon took its record back
-    std::uint64_t sequence = 0; ///< counts this incarnation's records
+    std::uint64_t incarnation = 0; ///< 0: the daemon withdrew its record
+    std::uint64_t sequence = 0; ///< number of the record within this incarnation
     bool stopping = false;
-    std::string feed_address; ///< "ip:port" for daemons that follow its directory
-    double capacity = 1; ///< processor power of its node, relative to others
+    std::string feed_address; ///< "ip:port" of its directory feed, for other daemons
+    double capacity = 1; ///< processor power of its node, relative to the others
 };
 
-/// Names, formats and calls of such a platform.  Decides nothing.
+/// Names, formats and calls of such a platform.  Makes no decisions.
 class DirectoryDialect {
 public:
     virtual ~DirectoryDialect() = default;
@@ -77,34 +77,34 @@
     virtual HttpRequest read(DirectoryTopic topic, Offset from, Micros wait) const = 0;
     virtual HttpRequest append(DirectoryTopic topic, const DirectoryRecord& record) const
         = 0;
-    /// Told by all answers, those to failed calls among them.
+    /// Every response carries the generation, including those to failed calls.
     virtual LogGeneration generation_of(const HttpResponse& response) const = 0;
     virtual Result<DirectoryPage> decode_newest(const HttpResponse& response) const = 0;
     virtual Result<DirectoryPage> decode_read(const HttpResponse& response) const = 0;
 
-    /// Nothing: the record is not the configuration.
+    /// An error: the record is not a configuration.
     virtual Result<Bundle> decode_configuration(const DirectoryRecord& record) const = 0;
-    /// Nothing: the record is not about an evacuation.  These stand beside the
-    /// configuration.
+    /// Nothing: the record is not about an evacuation.  Evacuation records are in the
+    /// configuration's topic, under keys of their own.
     virtual std::optional<EvacuationRecord>
     decode_evacuation(const DirectoryRecord& record) const = 0;
     virtual Result<UpstreamRecord> decode_upstream(const DirectoryRecord& record) const = 0;
 };
 
-/// What a daemon believes of configuration and upstreams, from the records it
-/// has seen in the order of the log.  The version of the configuration only
-/// rises; an upstream that is leaving or gone comes back only as another run, under another
-/// identity or with a later start.
+/// Configuration, evacuations and upstreams as derived from the records seen so far, in the
+/// order of the log.  The version of the configuration only rises; an upstream that is
+/// leaving or was removed returns only as another run, under another identity or with a
+/// later start.
 class DirectoryFold {
 public:
-    /// `vanish_grace`: how long an upstream whose record went during an outage
-    /// of the platform is still believed in.
-    explicit DirectoryFold(Micros vanish_grace)
-        : m_vanish_grace(vanish_grace)
+    /// `removal_grace_period`: how long an upstream is kept whose record disappeared
+    /// during an outage of the platform.
+    explicit DirectoryFold(Micros removal_grace_period)
+        : m_removal_grace_period(removal_grace_period)
     {
     }
 
-    /// True if this version is now in force.
+    /// Puts a newer version in force; false if it is not newer than the current one.
     bool offer_configuration(Bundle bundle);
     const Bundle* configuration() const
     {
@@ -113,31 +113,32 @@
 
     EvacuationTable& evacuations() { return m_evacuations; }
     const EvacuationTable& evacuations() const { return m_evacuations; }
-    /// To be called when evacuations() changed.
-    void note_evacuations_changed() { ++m_revision; }
+    /// Must be called after a change of evacuations().
+    void on_evacuations_changed() { ++m_revision; }
 
-    /// The listing that follows names all upstreams there are.
+    /// Starts a listing of all upstreams; end_listing() removes those it does not contain.
     void begin_listing();
     void end_listing(Micros now, bool after_outage);
 
-    /// True if something besides the sequence is news.  Its time cold counts from `now`,
-    /// which is late rather than early.
+    /// True if anything other than the sequence changed.  The cold time counts from `now`,
+    /// which is when the record was read, so that its end is late rather than early.
     bool apply(const UpstreamRecord& record, Micros now = 0);
-    /// True if the record was written late: a later one of its upstream was applied before.
+    /// True if a newer record of the upstream was applied before: one of a later run, or of
+    /// the same run with a higher sequence.
     bool is_outdated(const UpstreamRecord& record) const;
-    /// A listing names that identity with a record that can't be read: what is known of it
-    /// holds on.
-    void note_listed(const std::string& identity);
-    /// The record of that identity was dropped.
+    /// The listing contains a record of that identity that can't be decoded: its known
+    /// state is kept.
+    void mark_listed(const std::string& identity);
+    /// The record of that identity was deleted.
     void drop(const std::string& identity, Micros now, bool after_outage);
-    /// How long records that the directory may have lost are believed in.
-    Micros vanish_grace() const { return m_vanish_grace; }
-    /// Forgets upstreams and evacuations whose grace is over.
+    /// How long records are kept that the directory may have lost.
+    Micros removal_grace_period() const { return m_removal_grace_period; }
+    /// Removes upstreams and evacuations whose grace period has ended.
     void expire(Micros now);
 
-    /// Upstreams that are believed in.
+    /// Upstreams that are present, including those within their grace period.
     std::vector<UpstreamMember> members() const;
-    /// What became of them since the last call; after the first, all of them are new.
+    /// Changes of members() since the last call; the first call reports all members as new.
     std::vector<MemberChange> take_changes();
     /// Counts changes of members() and evacuations().
     std::uint64_t revision() const { return m_revision; }
@@ -147,20 +148,20 @@
         UpstreamMember member;
         std::uint64_t sequence = 0;
         bool present = true;
-        bool listed = false; ///< met in the listing that is under way
-        Micros gone_at = -1; ///< not present: when it is to be forgotten
-        std::optional<UpstreamMember> told; ///< by take_changes()
+        bool listed = false; ///< contained in the current listing
+        Micros removal_at = -1; ///< when it is, or was, removed; -1: no removal is due
+        std::optional<UpstreamMember> reported; ///< by take_changes()
     };
 
-    void vanish(Known& known, Micros now, bool after_outage);
-    void note_changed(const std::string& identity);
+    void schedule_removal(Known& known, Micros now, bool after_outage);
+    void mark_changed(const std::string& identity);
 
-    const Micros m_vanish_grace;
+    const Micros m_removal_grace_period;
     std::optional<Bundle> m_configuration;
     EvacuationTable m_evacuations;
     std::map<std::string, Known> m_known;
-    std::set<std::string> m_changed; ///< identities, since take_changes()
-    Micros m_expiry_due = std::numeric_limits<Micros>::max(); ///< or later
+    std::set<std::string> m_changed; ///< identities changed since take_changes()
+    Micros m_expiry_due = std::numeric_limits<Micros>::max(); ///< none expires earlier
     std::uint64_t m_revision = 0;
 };
 
--- a/src/include/cypressford/topic_listing.h
+++ b/src/include/cypressford/topic_listing.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The newest record of each key of one topic of the directory, and the form in which one
-/// daemon hands all of them to another that knows none.
+/// The newest record of each key of one topic of the directory, and the form in which a
+/// daemon sends all of them to another that has none.
 
 #pragma once
 
@@ -17,10 +17,10 @@
 
 namespace cypressford {
 
-/// All of a topic, compressed for the way between daemons.
+/// All records of a topic, compressed for transfer between daemons.
 struct PackedListing {
-    Offset end = 0; ///< it holds what came before this offset
-    std::vector<std::string> parts; ///< one at least; see unpack_listing()
+    Offset end = 0; ///< it holds all records before this offset
+    std::vector<std::string> parts; ///< at least one; see unpack_listing()
 };
 
 /// Newest records by key.  Has no I/O and no clock.
@@ -31,34 +31,36 @@
         Offset offset = 0; ///< -1: not known
     };
 
-    /// The directory lists the topic: keys that are not named by end_listing() are gone.
+    /// Starts a listing of the topic by the directory; end_listing() erases all keys that
+    /// were not passed to mark_present() since.
     void begin_listing();
-    void name(const std::string& key) { m_unnamed.erase(key); }
+    void mark_present(const std::string& key) { m_unlisted.erase(key); }
     void end_listing();
 
-    /// The log came back from an older copy: no record is known to lie where it was read.
+    /// The log was restored from an older copy: the offsets of all records are unknown.
     void forget_offsets();
 
     void put(const DirectoryRecord& record, Offset offset);
     void erase(const std::string& key);
 
-    /// Null: there is no such key.
+    /// Null if there is no such key.
     const Entry* find(const std::string& key) const;
 
     /// Newest records at that offset or later, in the order of the log.
     std::vector<OffsetRecord> since(Offset from) const;
 
-    /// All records, with what `history` tells behind the listing's end.  Compressed anew
-    /// only once too much follows: hundreds of daemons that start at once ask for the same.
+    /// All records.  Those that follow the listing's end are in `history`.  Compressed
+    /// again only once too many follow: hundreds of daemons that start at the same time
+    /// request the same listing.
     const PackedListing& packed(const RecordHistory& history);
 
 private:
     void pack(Offset end);
 
     std::map<std::string, Entry> m_newest;
-    std::set<std::string> m_unnamed; ///< while the topic is listed
+    std::set<std::string> m_unlisted; ///< keys not yet contained in the current listing
     std::set<std::pair<Offset, std::string>> m_by_offset;
-    PackedListing m_packed; ///< without parts: to be made
+    PackedListing m_packed; ///< without parts: to be compressed again
 };
 
 } // namespace cypressford
--- a/src/include/cypressford/unreachable_peers.h
+++ b/src/include/cypressford/unreachable_peers.h
@@ -33,7 +33,7 @@
         return m_checked.size() < kMost && m_checked.insert(address).second;
     }
     /// What came of asking.  True if the list changed.
-    bool note_check(const std::string& address, bool answers);
+    bool record_check(const std::string& address, bool answers);
 
     const UnreachableList& list() const { return m_list; }
 
--- a/src/libcypressford/daemon_table.cpp
+++ b/src/libcypressford/daemon_table.cpp
@@ -13,20 +13,21 @@
 
 namespace {
 
-constexpr double kLeastPartOfStrongest = 0.5;
-/// A reader tells about so many daemons: each large record crosses its link so often.
-constexpr std::size_t kDaemonsOfReader = 32;
-/// Of the writes that the directory bears, records of daemons take this part.
-constexpr double kPartOfWrites = 0.0025;
-/// A fleet of 9 nodes writes each of its records in 4.5 s by that.
-constexpr double kLeastRecordsPerSecond = 2;
-constexpr Micros kShortestPace = 3 * kSecond;
-constexpr int kRecordsMissed = 3;
-/// A daemon that knows nobody is told of so many that it may ask one after the other.
-constexpr std::size_t kReferredAtOnce = 4;
-
-/// Highest random weight (Thaler and Ravishankar, 1998): the same everywhere, and
-/// only what a daemon led moves when it goes.
+constexpr double kMinLeaderCapacityRatio = 0.5;
+/// Approximate number of daemons that query one reader, which sends each large record to
+/// every one of them.
+constexpr std::size_t kFollowersPerReader = 32;
+/// Fraction of the writes that the directory can process for records of daemons.
+constexpr double kDaemonWriteFraction = 0.0025;
+/// A fleet of 9 nodes writes each of its records every 4.5 s at this rate.
+constexpr double kMinRecordsPerSecond = 2;
+constexpr Micros kMinPublishInterval = 3 * kSecond;
+constexpr int kRecordIntervalsPerTimeout = 3;
+/// Number of daemons in a referral, so that the next one can be queried if one fails.
+constexpr std::size_t kMaxReferredDaemons = 4;
+
+/// Highest random weight (Thaler and Ravishankar, 1998): every daemon computes the same
+/// result, and if a daemon is removed, only the sets that it led move.
 std::uint64_t
 weight_of(std::string_view node, std::string_view set_name)
 {
@@ -69,26 +70,26 @@
         known.suspected = false;
     const bool moved = is_new || known.record.peers_address != record.peers_address;
     if (moved && !is_new)
-        forget(record.node);
+        forget_address(record.node);
     if (moved)
         m_nodes_at.emplace(record.peers_address, record.node);
     known.record = record;
     known.seen_at = now;
-    forget_derived();
+    invalidate_derived();
     return true;
 }
 
 bool
-DaemonTable::knows_other_start(const DaemonRecord& record) const
+DaemonTable::knows_other_incarnation(const DaemonRecord& record) const
 {
     const auto known = m_daemons.find(record.node);
     return known != m_daemons.end()
         && known->second.record.incarnation != record.incarnation;
 }
 
-/// Its address stands for it no more.
+/// Removes the node from m_nodes_at.
 void
-DaemonTable::forget(const std::string& node)
+DaemonTable::forget_address(const std::string& node)
 {
     std::erase_if(m_nodes_at, [&](const auto& item) { return item.second == node; });
 }
@@ -96,9 +97,9 @@
 void
 DaemonTable::drop(const std::string& node)
 {
-    forget(node);
+    forget_address(node);
     m_daemons.erase(node);
-    forget_derived();
+    invalidate_derived();
 }
 
 template <class F>
@@ -111,75 +112,75 @@
 }
 
 void
-DaemonTable::forget_derived()
+DaemonTable::invalidate_derived()
 {
     m_derived = {};
-    m_next_silence.reset();
+    m_next_expiry.reset();
 }
 
 Micros
-DaemonTable::next_silence() const
+DaemonTable::next_expiry() const
 {
     Micros next = std::numeric_limits<Micros>::max();
     for (const auto& [node, known] : m_daemons)
         if (node != m_own_node && is_alive(known))
-            next = std::min(next, known.seen_at + m_silent_after);
+            next = std::min(next, known.seen_at + m_record_timeout);
     return next;
 }
 
 void
-DaemonTable::note_read(Micros now)
+DaemonTable::on_directory_read(Micros now)
 {
     m_read_at = now;
-    if (m_next_silence && now < *m_next_silence)
+    if (m_next_expiry && now < *m_next_expiry)
         return;
     m_derived = {};
-    m_next_silence = next_silence();
+    m_next_expiry = next_expiry();
 }
 
 void
-DaemonTable::set_silent_after(Micros time)
+DaemonTable::set_record_timeout(Micros time)
 {
-    if (time == m_silent_after)
+    if (time == m_record_timeout)
         return;
-    m_silent_after = time;
-    forget_derived();
+    m_record_timeout = time;
+    invalidate_derived();
 }
 
 void
-DaemonTable::let_weak_nodes_lead()
+DaemonTable::allow_weak_leaders()
 {
     m_weak_nodes_lead = true;
-    forget_derived();
+    invalidate_derived();
 }
 
 void
-DaemonTable::note_answer(const std::string& peers_address, Micros now)
+DaemonTable::record_response(const std::string& peers_address, Micros now)
 {
     for_each_at(peers_address, [&](Known& known) {
         const bool was_alive = is_alive(known);
         known.seen_at = std::max(known.seen_at, now);
         if (was_alive != is_alive(known))
-            forget_derived();
+            invalidate_derived();
     });
 }
 
 bool
 DaemonTable::suspect(const std::string& peers_address)
 {
-    bool is_news = false;
+    bool is_change = false;
     for_each_at(peers_address,
-                [&](Known& known) { is_news |= !std::exchange(known.suspected, true); });
-    if (is_news)
-        forget_derived();
-    return is_news;
+                [&](Known& known) { is_change |= !std::exchange(known.suspected, true); });
+    if (is_change)
+        invalidate_derived();
+    return is_change;
 }
 
 void
 DaemonTable::trust(const std::string& peers_address)
 {
     for_each_at(peers_address, [&](Known& known) { known.suspected = false; });
-    forget_derived();
+    invalidate_derived();
 }
 
 bool
@@ -197,7 +198,7 @@
 {
     if (known.record.node == m_own_node)
         return !known.record.stopping;
-    return !known.record.stopping && m_read_at - known.seen_at < m_silent_after;
+    return !known.record.stopping && m_read_at - known.seen_at < m_record_timeout;
 }
 
 int
@@ -244,9 +245,9 @@
     return chosen;
 }
 
-/// Those with at least half of the capacity of the strongest.
+/// Keeps candidates with at least half of the capacity of the strongest.
 void
-DaemonTable::keep_strong(std::vector<const Known*>& candidates) const
+DaemonTable::keep_strong_nodes(std::vector<const Known*>& candidates) const
 {
     if (m_weak_nodes_lead)
         return;
@@ -254,7 +255,7 @@
     for (const Known* known : candidates)
         strongest = std::max(strongest, known->record.capacity);
     std::erase_if(candidates, [strongest](const Known* known) {
-        return known->record.capacity < kLeastPartOfStrongest * strongest;
+        return known->record.capacity < kMinLeaderCapacityRatio * strongest;
     });
 }
 
@@ -271,7 +272,7 @@
 DaemonTable::find_leader(std::string_view set_name) const
 {
     std::vector<const Known*> able = candidates();
-    keep_strong(able);
+    keep_strong_nodes(able);
     const Known* leader = choose(able, set_name);
     const bool is_other = leader && leader->record.node != m_own_node;
     return is_other ? leader->record.peers_address : std::string {};
@@ -281,7 +282,7 @@
 DaemonTable::next_leaders(std::string_view set_name, std::size_t count) const
 {
     std::vector<const Known*> able = candidates();
-    keep_strong(able);
+    keep_strong_nodes(able);
     std::vector<std::string> addresses;
     while (addresses.size() < count && !able.empty()) {
         const Known* leader = choose(able, set_name);
@@ -293,7 +294,7 @@
 }
 
 std::vector<const DaemonTable::Known*>
-DaemonTable::tellers(std::string_view hall) const
+DaemonTable::feed_daemons(std::string_view hall) const
 {
     std::vector<const Known*> able = candidates();
     std::erase_if(able, [hall](const Known* known) {
@@ -305,11 +306,11 @@
 
 namespace {
 
-/// Daemons of a large hall are spread over several readers.
+/// Daemons of a large hall are divided among several readers.
 std::size_t
 count_parts(std::size_t daemons)
 {
-    return daemons / kDaemonsOfReader + 1;
+    return daemons / kFollowersPerReader + 1;
 }
 
 std::string
@@ -325,57 +326,57 @@
 std::optional<DaemonRecord>
 DaemonTable::reader_of(std::string_view hall) const
 {
-    std::vector<const Known*> able = tellers(hall);
+    std::vector<const Known*> able = feed_daemons(hall);
     const std::size_t parts = count_parts(able.size());
     const std::size_t own_part = weight_of(m_own_node, hall) % parts;
-    keep_strong(able);
-    // The reader of one part does not ask that of another, which may ask it in turn.
+    keep_strong_nodes(able);
+    // The reader of one part does not query that of another, which may query it in turn.
     for (std::size_t other = 0; other < parts; ++other) {
         const Known* reader = choose(able, name_of_part(hall, other));
         if (reader && reader->record.node == m_own_node)
             return std::nullopt;
     }
-    return other_than_this(choose(able, name_of_part(hall, own_part)));
+    return unless_own(choose(able, name_of_part(hall, own_part)));
 }
 
 std::optional<DaemonRecord>
 DaemonTable::root_reader() const
 {
-    std::vector<const Known*> able = tellers({});
-    keep_strong(able);
-    return other_than_this(choose(able, kRootName));
+    std::vector<const Known*> able = feed_daemons({});
+    keep_strong_nodes(able);
+    return unless_own(choose(able, kRootName));
 }
 
 DirectoryReferral
-DaemonTable::refer(const DaemonRecord& asker, const DaemonRecord& own) const
+DaemonTable::refer(const DaemonRecord& requester, const DaemonRecord& own) const
 {
-    std::vector<const Known*> all = tellers({});
-    std::vector<const Known*> of_hall = tellers(asker.hall);
+    std::vector<const Known*> all = feed_daemons({});
+    std::vector<const Known*> of_hall = feed_daemons(requester.hall);
     const Known self {own};
     if (!m_daemons.contains(own.node)) {
         all.push_back(&self);
-        if (own.hall == asker.hall)
+        if (own.hall == requester.hall)
             of_hall.push_back(&self);
     }
     const std::size_t parts = count_parts(of_hall.size());
-    const std::size_t own_part = weight_of(asker.node, asker.hall) % parts;
+    const std::size_t own_part = weight_of(requester.node, requester.hall) % parts;
     const int alive = static_cast<int>(all.size());
-    keep_strong(all);
-    keep_strong(of_hall);
-    const auto is_asker
-        = [&](const Known* known) { return known && known->record.node == asker.node; };
-    if (is_asker(choose(all, kRootName)))
+    keep_strong_nodes(all);
+    keep_strong_nodes(of_hall);
+    const auto is_requester
+        = [&](const Known* known) { return known && known->record.node == requester.node; };
+    if (is_requester(choose(all, kRootName)))
         return {DirectoryRole::Root, {}, alive};
     DirectoryReferral referral {DirectoryRole::Follower, {}, alive};
     for (std::size_t part = 0; part < parts; ++part)
-        if (is_asker(choose(of_hall, name_of_part(asker.hall, part))))
+        if (is_requester(choose(of_hall, name_of_part(requester.hall, part))))
             referral.role = DirectoryRole::HallReader;
     const bool reads = referral.role == DirectoryRole::HallReader;
     const std::string name
-        = reads ? std::string(kRootName) : name_of_part(asker.hall, own_part);
+        = reads ? std::string(kRootName) : name_of_part(requester.hall, own_part);
     std::vector<const Known*>& able = reads ? all : of_hall;
-    std::erase_if(able, is_asker);
-    while (referral.ask.size() < kReferredAtOnce && !able.empty()) {
+    std::erase_if(able, is_requester);
+    while (referral.ask.size() < kMaxReferredDaemons && !able.empty()) {
         const Known* next = choose(able, name);
         referral.ask.push_back(next->record);
         std::erase(able, next);
@@ -395,8 +396,8 @@
 DirectorySource
 DaemonTable::find_source(std::string_view hall) const
 {
-    // In this order, so that the root reader asks nobody: not the reader of its own hall,
-    // which asks it.
+    // The root reader is determined first, so that it queries no other daemon: the reader
+    // of its own hall queries the root reader.
     std::optional<DaemonRecord> root = root_reader();
     if (!root && !m_daemons.contains(m_own_node))
         return {DirectoryRole::Fresh, std::nullopt};
@@ -409,7 +410,7 @@
 }
 
 std::optional<DaemonRecord>
-DaemonTable::other_than_this(const Known* known) const
+DaemonTable::unless_own(const Known* known) const
 {
     if (!known || known->record.node == m_own_node)
         return std::nullopt;
@@ -417,17 +418,17 @@
 }
 
 Micros
-publish_pace(int daemons, double writes_per_s)
+publish_interval(int daemons, double writes_per_s)
 {
-    const double rate = std::max(kLeastRecordsPerSecond, kPartOfWrites * writes_per_s);
-    return std::max(kShortestPace,
+    const double rate = std::max(kMinRecordsPerSecond, kDaemonWriteFraction * writes_per_s);
+    return std::max(kMinPublishInterval,
                     static_cast<Micros>(daemons / rate * static_cast<double>(kSecond)));
 }
 
 Micros
-silent_after(int daemons, double writes_per_s)
+record_timeout(int daemons, double writes_per_s)
 {
-    return kRecordsMissed * publish_pace(daemons, writes_per_s);
+    return kRecordIntervalsPerTimeout * publish_interval(daemons, writes_per_s);
 }
 
 std::string
@@ -451,7 +452,7 @@
     proto::DaemonRecord in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))
         || in.node().empty())
-        return fail(ErrorKind::BadRequest, "not a daemon's record");
+        return fail(ErrorKind::BadRequest, "malformed daemon record");
     return DaemonRecord {in.node(),     in.hall(),     in.address(),      in.incarnation(),
                          in.sequence(), in.stopping(), in.feed_address(), in.capacity()};
 }
--- a/src/libcypressford/daemon_table_test.cpp
+++ b/src/libcypressford/daemon_table_test.cpp
@@ -12,7 +12,7 @@
 namespace cypressford {
 namespace {
 
-TEST_CASE("all daemons name the same leader, and only its sets move when it goes")
+TEST_CASE("all daemons choose the same leader, and only its sets move when it is removed")
 {
     constexpr Micros silent = 5 * kSecond;
     std::vector<DaemonTable> tables;
@@ -40,7 +40,7 @@
     CHECK(moved > 5);
 }
 
-TEST_CASE("the next leaders of a set are those that take it over, one after the other")
+TEST_CASE("next_leaders() lists the daemons in the order in which they take over a set")
 {
     DaemonTable table("own", 5 * kSecond);
     table.apply(daemon("own", 1), 0);
@@ -53,7 +53,7 @@
         DaemonTable later = table;
         for (const std::string& address : next) {
             if (later.leader_of(set).empty())
-                break; // this daemon itself comes in between
+                break; // this daemon itself is the next leader
             CHECK(later.leader_of(set) == address);
             later.suspect(address);
         }
@@ -61,19 +61,20 @@
     CHECK(table.next_leaders("engines", 2 * daemons).size() == daemons);
 }
 
-TEST_CASE("a daemon is gone when it is silent, stopping or suspected")
+TEST_CASE("a daemon is not alive once expired, stopping or dropped, and leads no set if "
+          "suspected")
 {
     DaemonTable table("own", 5 * kSecond);
     table.apply(daemon("own", 1), 0);
     table.apply(daemon("other", 1), 0);
     CHECK(table.alive() == 2);
-    table.note_read(6 * kSecond);
+    table.on_directory_read(6 * kSecond);
     CHECK(table.alive() == 1);
     CHECK(table.apply(daemon("other", 2), 6 * kSecond));
     CHECK(table.alive() == 2);
-    // An old record, read once more, is no sign of life.
+    // An old record that is read again does not count as a keepalive.
     CHECK_FALSE(table.apply(daemon("other", 2), 12 * kSecond));
-    table.note_read(12 * kSecond);
+    table.on_directory_read(12 * kSecond);
     CHECK(table.alive() == 1);
     CHECK(table.apply(daemon("other", 1, 2), 12 * kSecond));
     CHECK(table.suspect("other:1"));
@@ -81,7 +82,7 @@
     for (int i = 0; i < 20; ++i)
         CHECK(table.leader_of("set" + std::to_string(i)).empty());
     CHECK(table.is_suspected("other:1"));
-    table.note_read(18 * kSecond);
+    table.on_directory_read(18 * kSecond);
     CHECK_FALSE(table.is_suspected("other:1"));
     table.apply(daemon("other", 2, 2), 18 * kSecond);
     table.trust("other:1");
@@ -95,21 +96,22 @@
     CHECK(table.alive() == 1);
 }
 
-TEST_CASE("an outage of the directory silences nobody, and an answer is a sign of life")
+TEST_CASE(
+    "no record expires during a directory outage, and an answer counts as a keepalive")
 {
     DaemonTable table("own", 5 * kSecond);
     table.apply(daemon("own", 1), 0);
     table.apply(daemon("other", 1), 0);
     table.apply(daemon("third", 1), 0);
-    table.note_read(0);
-    // Nothing is read for a minute; others can write nothing either.
+    table.on_directory_read(0);
+    // Nothing is read for a minute, and other daemons can't write either.
     CHECK(table.alive() == 3);
-    table.note_answer("other:1", 58 * kSecond);
-    table.note_read(60 * kSecond);
+    table.record_response("other:1", 58 * kSecond);
+    table.on_directory_read(60 * kSecond);
     CHECK(table.alive() == 2);
 }
 
-TEST_CASE("strong nodes lead, and weak ones when no strong one is left")
+TEST_CASE("strong nodes lead, and weak ones if no strong one is left")
 {
     DaemonTable table("own", 5 * kSecond);
     table.apply(daemon("own", 1), 0);
@@ -128,7 +130,7 @@
 }
 
 TEST_CASE(
-    "all daemons of a hall name the same reader, and another one when it is suspected")
+    "all daemons of a hall choose the same reader, and another one when it is suspected")
 {
     std::vector<DaemonTable> tables;
     for (const char* own : {"a", "b", "c"}) {
@@ -156,7 +158,7 @@
     CHECK(name_at(0) == name_at(1));
 }
 
-/// Whom each daemon of the fleet asks, by its node; those in `cut` can't be reached.
+/// The source of each daemon of the fleet, by its node; those in `cut` are unreachable.
 std::map<std::string, DirectorySource>
 sources(const std::vector<DaemonRecord>& records, const std::set<std::string>& cut = {})
 {
@@ -172,7 +174,7 @@
     return result;
 }
 
-TEST_CASE("one daemon of the fleet reads the directory, others ask it in two steps")
+TEST_CASE("one daemon of the fleet reads the directory, the others query it in two steps")
 {
     const std::vector<DaemonRecord> records = fleet(295);
     std::map<std::string, DirectorySource> all = sources(records);
@@ -192,27 +194,27 @@
             CHECK(source.daemon->node == *roots.begin());
         if (source.role != DirectoryRole::Follower)
             continue;
-        // Nobody asks one that asks somebody who asks back.
-        const DirectorySource& asked = all.at(source.daemon->node);
-        CHECK(asked.role != DirectoryRole::Follower);
+        // There are no cycles: a follower's source is never a follower.
+        const DirectorySource& next = all.at(source.daemon->node);
+        CHECK(next.role != DirectoryRole::Follower);
     }
-    // If it goes, all agree on another one.
-    std::set<std::string> next;
+    // If the root reader is unreachable, all others agree on another one.
+    std::set<std::string> new_roots;
     for (const auto& [node, source] : sources(records, roots))
         if (source.role == DirectoryRole::HallReader)
-            next.insert(source.daemon->node);
-    REQUIRE(next.size() == 1);
-    CHECK_FALSE(roots.contains(*next.begin()));
+            new_roots.insert(source.daemon->node);
+    REQUIRE(new_roots.size() == 1);
+    CHECK_FALSE(roots.contains(*new_roots.begin()));
 }
 
-TEST_CASE("a daemon that is alone reads the directory itself")
+TEST_CASE("a daemon without others reads the directory itself")
 {
     const std::vector<DaemonRecord> alone = fleet(1);
     CHECK(sources(alone).begin()->second.role == DirectoryRole::Root);
     CHECK_FALSE(sources(alone).begin()->second.daemon);
 }
 
-TEST_CASE("daemons of a large hall are spread over several readers")
+TEST_CASE("daemons of a large hall are divided among several readers")
 {
     std::map<std::string, int> followers;
     constexpr int daemons = 100;
@@ -237,20 +239,20 @@
 {
     for (const int daemons : {3, 9, 86, 710, 5000}) {
         const double writes = 400;
-        const Micros pace = publish_pace(daemons, writes);
-        CHECK(pace >= 3 * kSecond);
-        const double per_second = daemons / (static_cast<double>(pace) / kSecond);
+        const Micros interval = publish_interval(daemons, writes);
+        CHECK(interval >= 3 * kSecond);
+        const double per_second = daemons / (static_cast<double>(interval) / kSecond);
         CHECK(per_second <= 0.01 * writes + 1e-6);
-        CHECK(silent_after(daemons, writes) >= 3 * pace);
+        CHECK(record_timeout(daemons, writes) >= 3 * interval);
     }
-    // Each call to the directory has its price, and who leads or reads is found silent by
-    // its answers long before its record is: a large fleet does not fill the directory
-    // with records: 8 a second for 295 daemons.
-    CHECK(publish_pace(9, 400) == 4500 * kMillisecond);
-    CHECK(publish_pace(295, 3200) >= 36 * kSecond);
+    // Each call to the directory costs its time, and a leader or reader that fails is
+    // detected by missing answers long before its record expires.  A large fleet therefore
+    // writes few records: 8 a second for 295 daemons.
+    CHECK(publish_interval(9, 400) == 4500 * kMillisecond);
+    CHECK(publish_interval(295, 3200) >= 36 * kSecond);
 }
 
-TEST_CASE("a daemon's record survives its encoding")
+TEST_CASE("a daemon's record can be decoded after encoding")
 {
     const DaemonRecord before = daemon("n", 7, 42);
     const auto after = decode_daemon(encode(before));
--- a/src/libcypressford/directory_feed.cpp
+++ b/src/libcypressford/directory_feed.cpp
@@ -17,29 +17,29 @@
 
 constexpr std::size_t kMaxRecords = 1024;
 constexpr std::size_t kMaxBytes = 1 << 20;
-/// Smaller values cross a link of 10 Mbit/s in 3 ms and are sent as they are.
-constexpr std::size_t kPackAbove = 4 * 1024;
-
-/// Part of the time within which a change must be in force: knowledge that is older is
-/// renewed at the directory itself, which leaves a third of the time for asking.
-constexpr double kStalePart = 0.65;
-/// Parts of that age.  What a follower knows is at worst as old as one wait at the
-/// directory, one hold at the root reader, one at the reader of its hall and the messages
-/// together; if the root reader fails, as what a reader bears and one hold.  Both stay
-/// below the age, or every follower asks the directory besides its reader (295 daemons,
-/// bound 4 s, heartbeat 1.2 s, 2.2 s of 1.92: 712 changes of readers on a calm day, and
-/// half of all calls).
-constexpr double kReaderStalePart = 0.75;
-constexpr double kWaitPart = 0.42;
-constexpr double kReaderHoldPart = 0.25;
-constexpr double kHoldPart = 0.2;
-/// A record lapses after three heartbeats without a write, the last of which may be
-/// one heartbeat old when an outage begins.
-constexpr Micros kHeartbeatsOfOutage = 2;
-constexpr double kStalePartOfOutage = 0.8;
+/// Smaller values take at most 3 ms on a link of 10 Mbit/s and are sent uncompressed.
+constexpr std::size_t kPackThresholdBytes = 4 * 1024;
+
+/// Fraction of the bound within which a change must be in force: older state is refreshed
+/// from the directory itself, which leaves a third of the bound for the request.
+constexpr double kStaleFraction = 0.65;
+/// Fractions of stale_after.  A follower's state is at most as old as one wait at the
+/// directory, one hold at the root reader, one hold at the reader of its hall and the
+/// messages together; if the root reader fails, as old as reader_stale_after and one hold.
+/// Both sums must stay below stale_after, or else every follower queries the directory in
+/// addition to its reader (295 daemons, bound 4 s, heartbeat 1.2 s, 2.2 s of 1.92: 712
+/// changes of readers in normal operation, and half of all calls).
+constexpr double kReaderStaleFraction = 0.75;
+constexpr double kWaitFraction = 0.42;
+constexpr double kReaderHoldFraction = 0.25;
+constexpr double kHoldFraction = 0.2;
+/// A record expires after three heartbeats without a write, the last of which may be one
+/// heartbeat old when an outage begins.
+constexpr Micros kOutageHeartbeats = 2;
+constexpr double kOutageStaleFraction = 0.8;
 
 Micros
-part_of(Micros time, double part)
+fraction_of(Micros time, double part)
 {
     return static_cast<Micros>(static_cast<double>(time) * part);
 }
@@ -73,7 +73,7 @@
     record.set_value(entry.record.value);
     record.set_packed(entry.packed);
     record.set_base(entry.base);
-    record.set_sign(entry.is_sign);
+    record.set_sign(entry.is_keepalive);
 }
 
 void
@@ -201,7 +201,7 @@
 }
 
 bool
-RecordHistory::has_news(Offset from) const
+RecordHistory::has_changes(Offset from) const
 {
     return !m_records.empty() && m_records.back().offset >= from;
 }
@@ -210,7 +210,7 @@
 RecordPacker::pack(const OffsetRecord& entry, const RecordHistory& history,
                    std::uint64_t base)
 {
-    if (entry.record.value.size() < kPackAbove)
+    if (entry.record.value.size() < kPackThresholdBytes)
         return entry;
     if (m_offset != entry.offset)
         m_packed.clear();
@@ -226,7 +226,7 @@
     }
     if (known->value.empty())
         return entry;
-    return {entry.offset, {entry.record.key, known->value}, true, used, entry.is_sign};
+    return {entry.offset, {entry.record.key, known->value}, true, used, entry.is_keepalive};
 }
 
 bool
@@ -241,19 +241,21 @@
         = cypressford::unpack(entry.record.value, base.value_or(std::string_view {}));
     if (!value)
         return false;
-    entry = {entry.offset, {entry.record.key, *std::move(value)}, false, 0, entry.is_sign};
+    entry = {
+        entry.offset, {entry.record.key, *std::move(value)}, false, 0, entry.is_keepalive};
     return true;
 }
 
 DirectoryPace::DirectoryPace(Micros bound_, Micros heartbeat)
     : bound(bound_)
-    , outage(kHeartbeatsOfOutage * heartbeat)
-    , stale_after(std::min(part_of(bound, kStalePart), part_of(outage, kStalePartOfOutage)))
-    , reader_stale_after(part_of(stale_after, kReaderStalePart))
-    , read_wait(part_of(stale_after, kWaitPart))
-    , read_pause(part_of(stale_after, kWaitPart))
-    , hold(part_of(stale_after, kHoldPart))
-    , reader_hold(part_of(stale_after, kReaderHoldPart))
+    , outage(kOutageHeartbeats * heartbeat)
+    , stale_after(std::min(fraction_of(bound, kStaleFraction),
+                           fraction_of(outage, kOutageStaleFraction)))
+    , reader_stale_after(fraction_of(stale_after, kReaderStaleFraction))
+    , read_wait(fraction_of(stale_after, kWaitFraction))
+    , read_interval(fraction_of(stale_after, kWaitFraction))
+    , hold(fraction_of(stale_after, kHoldFraction))
+    , reader_hold(fraction_of(stale_after, kReaderHoldFraction))
 {
 }
 
@@ -286,7 +288,7 @@
 {
     proto::FeedQuery in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not a question about the directory");
+        return fail(ErrorKind::BadRequest, "malformed directory feed query");
     FeedQuery query;
     query.wait = in.wait_ms() * kMillisecond;
     query.takes_packed = in.takes_packed();
@@ -338,16 +340,17 @@
 {
     proto::FeedAnswer in;
     if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return fail(ErrorKind::BadRequest, "not an answer about the directory");
+        return fail(ErrorKind::BadRequest, "malformed directory feed answer");
     FeedAnswer answer;
     answer.held = in.held_ms() * kMillisecond;
     answer.generation = in.generation();
     if (in.has_referral())
         answer.referral = read(in.referral());
     if (in.has_unreachable()) {
-        const auto& told = in.unreachable();
+        const auto& unreachable = in.unreachable();
         answer.unreachable
-            = {told.revision(), {told.addresses().begin(), told.addresses().end()}};
+            = {unreachable.revision(),
+               {unreachable.addresses().begin(), unreachable.addresses().end()}};
     }
     for (const proto::FeedTopic& item : in.topics()) {
         const auto topic = topic_of(item.topic());
@@ -383,7 +386,7 @@
     const auto bytes = unpack(packed, {});
     proto::FeedListing in;
     if (!bytes || !in.ParseFromString(*bytes))
-        return fail(ErrorKind::BadRequest, "not a part of a listing");
+        return fail(ErrorKind::BadRequest, "malformed part of a directory listing");
     std::vector<OffsetRecord> records;
     for (const proto::FeedRecord& record : in.records())
         records.push_back(read(record));
--- a/src/libcypressford/directory_feed_test.cpp
+++ b/src/libcypressford/directory_feed_test.cpp
@@ -10,32 +10,32 @@
 namespace cypressford {
 namespace {
 
-constexpr Micros kGrace = 1200 * kMillisecond;
+constexpr Micros kGracePeriod = 1200 * kMillisecond;
 
-TEST_CASE("a history tells what changed behind an offset, or that it does not know")
+TEST_CASE("a history returns the changes from an offset on, or nothing if it lacks some")
 {
     RecordHistory history;
     CHECK_FALSE(history.since(0));
     history.restart(100);
     CHECK_FALSE(history.since(99));
     CHECK(history.since(100)->empty());
-    CHECK_FALSE(history.has_news(100));
+    CHECK_FALSE(history.has_changes(100));
     history.append(104, {"a", "1"});
     history.advance(110);
     history.append(112, {"b", ""});
     CHECK(history.next() == 113);
-    CHECK(history.has_news(112));
-    CHECK_FALSE(history.has_news(113));
+    CHECK(history.has_changes(112));
+    CHECK_FALSE(history.has_changes(113));
     REQUIRE(history.since(100)->size() == 2);
     REQUIRE(history.since(105)->size() == 1);
     CHECK(history.since(105)->front().record.key == "b");
-    // One that knows more than the reader is told nothing, not sent back.
+    // A cursor ahead of the reader gets no records and is not reset.
     CHECK(history.since(500)->empty());
     history.restart(200);
     CHECK_FALSE(history.since(113));
 }
 
-TEST_CASE("a history forgets its oldest records and says so")
+TEST_CASE("a history evicts its oldest records and no longer covers them")
 {
     RecordHistory history;
     history.restart(0);
@@ -62,7 +62,7 @@
     CHECK(history.since(1)->front().record.value.size() == 3'000'000);
 }
 
-TEST_CASE("of a state the newest record is enough for whoever knows an older one")
+TEST_CASE("of a state, the newest record is enough for a daemon that has an older one")
 {
     RecordHistory history;
     history.restart(0);
@@ -73,7 +73,7 @@
     REQUIRE(history.since(0)->size() == 1);
     CHECK(history.since(0)->front().offset == 4);
     CHECK(history.value_of(history.state_hash()) == std::string(700'000, 'e'));
-    // One that took the place of nothing here may still be news elsewhere.
+    // A record that replaced nothing here may still change the state of other daemons.
     history.append(5, {"config", "older"});
     REQUIRE(history.since(0)->size() == 2);
     CHECK(history.value_of(history.state_hash()) == std::string(700'000, 'e'));
@@ -81,7 +81,7 @@
     CHECK(history.state_hash() == 0);
 }
 
-/// A daemon's history after these configurations, from offset 0 on.
+/// History of a daemon that received these configurations, from offset 0 on.
 RecordHistory
 history_of(const std::vector<std::string>& values)
 {
@@ -92,7 +92,7 @@
     return history;
 }
 
-TEST_CASE("a large value is sent as what differs from the one that the asker has")
+TEST_CASE("a large value is sent as its difference from the requester's value")
 {
     std::string old_value;
     for (int i = 0; i < 5000; ++i)
@@ -103,33 +103,33 @@
     RecordPacker packer;
     SUBCASE("with the same base")
     {
-        const RecordHistory asker = history_of({old_value});
-        OffsetRecord sent = packer.pack(entry, reader, asker.state_hash());
+        const RecordHistory requester = history_of({old_value});
+        OffsetRecord sent = packer.pack(entry, reader, requester.state_hash());
         CHECK(sent.packed);
         CHECK(sent.record.value.size() < new_value.size() / 100);
-        REQUIRE(RecordPacker::unpack(sent, asker));
+        REQUIRE(RecordPacker::unpack(sent, requester));
         CHECK(sent.record.value == new_value);
         CHECK_FALSE(sent.packed);
     }
-    SUBCASE("with none, or one that the reader does not have")
+    SUBCASE("with no base, or one that the reader does not have")
     {
-        for (const RecordHistory& asker : {RecordHistory(), history_of({"foreign"})}) {
-            OffsetRecord sent = packer.pack(entry, reader, asker.state_hash());
+        for (const RecordHistory& requester : {RecordHistory(), history_of({"foreign"})}) {
+            OffsetRecord sent = packer.pack(entry, reader, requester.state_hash());
             CHECK(sent.base == 0);
             CHECK(sent.record.value.size() < new_value.size());
-            REQUIRE(RecordPacker::unpack(sent, asker));
+            REQUIRE(RecordPacker::unpack(sent, requester));
             CHECK(sent.record.value == new_value);
         }
     }
-    SUBCASE("to an asker that has gone on meanwhile")
+    SUBCASE("to a requester that has received newer values meanwhile")
     {
-        const RecordHistory asked = history_of({old_value});
-        OffsetRecord sent = packer.pack(entry, reader, asked.state_hash());
+        const RecordHistory at_request = history_of({old_value});
+        OffsetRecord sent = packer.pack(entry, reader, at_request.state_hash());
         OffsetRecord again = sent;
         CHECK(RecordPacker::unpack(sent, history_of({old_value, "next"})));
         CHECK_FALSE(RecordPacker::unpack(again, history_of({"next", "and next"})));
     }
-    SUBCASE("small ones go as they are")
+    SUBCASE("small values are sent uncompressed")
     {
         const RecordHistory small = history_of({"a", "b"});
         const OffsetRecord sent
@@ -139,18 +139,19 @@
     }
 }
 
-TEST_CASE("large records of two topics that have the same offset keep apart")
+TEST_CASE("compressed records of two topics at the same offset are not confused")
 {
     const TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, kSecond);
-    DirectoryView reader(dialect, pace, kGrace, "reader", "hall", 400, 0);
-    DirectoryView follower(dialect, pace, kGrace, "follower", "hall", 400, 0);
+    DirectoryView reader(dialect, pace, kGracePeriod, "reader", "hall", 400, 0);
+    DirectoryView follower(dialect, pace, kGracePeriod, "follower", "hall", 400, 0);
     for (DirectoryView* view : {&reader, &follower})
         for (const DirectoryTopic topic : DirectoryView::kTopics)
             view->end_listing(topic, 0, 0, 0);
     const std::string filler(10'000, ' ');
-    reader.take_page(DirectoryTopic::Configuration, 0, {{"config", "7" + filler}}, 0, 0, 0);
-    reader.take_page(DirectoryTopic::Upstreams, 0, {{"a", "3" + filler + "!"}}, 0, 0, 0);
+    reader.apply_page(DirectoryTopic::Configuration, 0, {{"config", "7" + filler}}, 0, 0,
+                      0);
+    reader.apply_page(DirectoryTopic::Upstreams, 0, {{"a", "3" + filler + "!"}}, 0, 0, 0);
     const FeedAnswer answer = reader.answer_to(follower.query(), 0);
     REQUIRE(answer.topics.at(0).records.size() == 1);
     CHECK(answer.topics[0].records[0].packed);
@@ -162,15 +163,15 @@
     CHECK(members[0].leaving);
 }
 
-TEST_CASE("a daemon that can't unpack is sent whole values")
+TEST_CASE("a daemon that does not accept compressed values is sent uncompressed ones")
 {
     const TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, kSecond);
-    DirectoryView reader(dialect, pace, kGrace, "reader", "hall", 400, 0);
+    DirectoryView reader(dialect, pace, kGracePeriod, "reader", "hall", 400, 0);
     for (const DirectoryTopic topic : DirectoryView::kTopics)
         reader.end_listing(topic, 0, 0, 0);
     const std::string value = "7" + std::string(10'000, ' ');
-    reader.take_page(DirectoryTopic::Configuration, 0, {{"config", value}}, 0, 0, 0);
+    reader.apply_page(DirectoryTopic::Configuration, 0, {{"config", value}}, 0, 0, 0);
     FeedQuery query;
     query.cursors = {{DirectoryTopic::Configuration, 0}};
     const FeedAnswer answer = reader.answer_to(query, 0);
@@ -179,12 +180,12 @@
     CHECK(answer.topics[0].records[0].record.value == value);
 }
 
-TEST_CASE("whoever asks a reader hears at once which daemons don't answer it")
+TEST_CASE("a reader reports at once which daemons are unreachable for it")
 {
     const TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, kSecond);
-    DirectoryView reader(dialect, pace, kGrace, "reader", "hall", 400, 0);
-    DirectoryView follower(dialect, pace, kGrace, "follower", "hall", 400, 0);
+    DirectoryView reader(dialect, pace, kGracePeriod, "reader", "hall", 400, 0);
+    DirectoryView follower(dialect, pace, kGracePeriod, "follower", "hall", 400, 0);
     for (DirectoryView* view : {&reader, &follower})
         for (const DirectoryTopic topic : DirectoryView::kTopics)
             view->end_listing(topic, 0, 0, 0);
@@ -195,43 +196,43 @@
     CHECK(peers.begin_check("10.0.0.1:1"));
     CHECK_FALSE(peers.begin_check("10.0.0.1:1"));
     CHECK_FALSE(reader.must_answer(query));
-    CHECK(peers.note_check("10.0.0.1:1", false));
-    CHECK_FALSE(peers.note_check("10.0.0.1:1", false));
+    CHECK(peers.record_check("10.0.0.1:1", false));
+    CHECK_FALSE(peers.record_check("10.0.0.1:1", false));
     CHECK(reader.must_answer(query));
-    const auto told = decode_feed_answer(encode(reader.answer_to(query, 0)));
-    REQUIRE(told);
-    REQUIRE(told->unreachable);
-    CHECK(told->unreachable->addresses == std::set<std::string> {"10.0.0.1:1"});
-    // It is told once; a daemon of an earlier version, which does not say what it has,
-    // never.
-    query.unreachable_revision = told->unreachable->revision;
+    const auto answer = decode_feed_answer(encode(reader.answer_to(query, 0)));
+    REQUIRE(answer);
+    REQUIRE(answer->unreachable);
+    CHECK(answer->unreachable->addresses == std::set<std::string> {"10.0.0.1:1"});
+    // The list is sent once, and never to a daemon of an earlier version, which does not
+    // send the revision that it has.
+    query.unreachable_revision = answer->unreachable->revision;
     CHECK_FALSE(reader.must_answer(query));
     CHECK_FALSE(reader.answer_to(query, 0).unreachable);
     CHECK_FALSE(reader.must_answer(follower.query()));
-    CHECK(peers.note_check("10.0.0.1:1", true));
+    CHECK(peers.record_check("10.0.0.1:1", true));
     CHECK(reader.must_answer(query));
     CHECK(reader.answer_to(query, 0).unreachable->addresses.empty());
     CHECK(peers.begin_check("10.0.0.1:1"));
 }
 
-TEST_CASE("what goes through a reader is in force within the bound")
+TEST_CASE("a change that is passed on by readers is in force within the bound")
 {
     for (const Micros bound : {1000, 2000, 3000, 4000, 10000}) {
         const DirectoryPace pace(bound * kMillisecond, 1200 * kMillisecond);
-        // A reader's knowledge is as old as its question; an answer may be held.
-        const Micros of_root = std::max(pace.read_wait, pace.read_pause);
+        // A reader's state is as old as its request; its answer to a query may be held.
+        const Micros of_root = std::max(pace.read_wait, pace.read_interval);
         const Micros of_reader = of_root + pace.reader_hold;
         CHECK(of_reader < pace.reader_stale_after);
         CHECK(of_reader + pace.hold < pace.stale_after);
-        // A reader that loses the root reader renews what it knows before its followers
-        // ask the directory themselves.
+        // A reader that loses the root reader refreshes its state before its followers
+        // query the directory themselves.
         CHECK(pace.reader_stale_after + pace.hold < pace.stale_after);
         CHECK(pace.stale_after < bound * kMillisecond);
         CHECK(pace.stale_after <= pace.outage);
     }
 }
 
-TEST_CASE("questions and answers about the directory survive their encoding")
+TEST_CASE("queries and answers of the feed can be decoded after encoding")
 {
     FeedQuery query;
     query.cursors = {{DirectoryTopic::Upstreams, 77, 12345},
@@ -241,20 +242,20 @@
     query.lost = {"10.0.0.1:1"};
     query.takes_unreachable = true;
     query.unreachable_revision = 7;
-    const auto asked = decode_feed_query(encode(query));
-    REQUIRE(asked);
-    REQUIRE(asked->cursors.size() == 2);
-    CHECK(asked->cursors[0].topic == DirectoryTopic::Upstreams);
-    CHECK(asked->cursors[0].from == 77);
-    CHECK(asked->cursors[0].base == 12345);
-    CHECK_FALSE(asked->cursors[0].takes_listing);
-    CHECK(asked->cursors[1].from == FeedQuery::kNothing);
-    CHECK(asked->cursors[1].takes_listing);
-    CHECK(asked->takes_packed);
-    CHECK(asked->wait == 250 * kMillisecond);
-    CHECK(asked->lost == query.lost);
-    CHECK(asked->takes_unreachable);
-    CHECK(asked->unreachable_revision == 7);
+    const auto decoded_query = decode_feed_query(encode(query));
+    REQUIRE(decoded_query);
+    REQUIRE(decoded_query->cursors.size() == 2);
+    CHECK(decoded_query->cursors[0].topic == DirectoryTopic::Upstreams);
+    CHECK(decoded_query->cursors[0].from == 77);
+    CHECK(decoded_query->cursors[0].base == 12345);
+    CHECK_FALSE(decoded_query->cursors[0].takes_listing);
+    CHECK(decoded_query->cursors[1].from == FeedQuery::kNothing);
+    CHECK(decoded_query->cursors[1].takes_listing);
+    CHECK(decoded_query->takes_packed);
+    CHECK(decoded_query->wait == 250 * kMillisecond);
+    CHECK(decoded_query->lost == query.lost);
+    CHECK(decoded_query->takes_unreachable);
+    CHECK(decoded_query->unreachable_revision == 7);
     FeedAnswer answer;
     answer.held = 20 * kMillisecond;
     const OffsetRecord record {88, {"key", std::string("\0\xff", 2)}, true, 1ULL << 63};
@@ -266,24 +267,24 @@
                              .records = {record},
                              .listing = {pack_listing({record}), pack_listing({})},
                              .listing_end = 80});
-    const auto told = decode_feed_answer(encode(answer));
-    REQUIRE(told);
-    REQUIRE(told->topics.size() == 1);
-    CHECK(told->topics[0].covered);
-    CHECK(told->topics[0].next == 90);
-    CHECK(told->topics[0].age == 400 * kMillisecond);
-    CHECK(told->topics[0].records.at(0).offset == 88);
-    CHECK(told->topics[0].records.at(0).record.value == std::string("\0\xff", 2));
-    CHECK(told->topics[0].records.at(0).packed);
-    CHECK(told->topics[0].records.at(0).base == 1ULL << 63);
-    CHECK(told->topics[0].pending);
-    CHECK(told->topics[0].listing_end == 80);
-    REQUIRE(told->topics[0].listing.size() == 2);
-    const auto listed = unpack_listing(told->topics[0].listing[0]);
+    const auto decoded = decode_feed_answer(encode(answer));
+    REQUIRE(decoded);
+    REQUIRE(decoded->topics.size() == 1);
+    CHECK(decoded->topics[0].covered);
+    CHECK(decoded->topics[0].next == 90);
+    CHECK(decoded->topics[0].age == 400 * kMillisecond);
+    CHECK(decoded->topics[0].records.at(0).offset == 88);
+    CHECK(decoded->topics[0].records.at(0).record.value == std::string("\0\xff", 2));
+    CHECK(decoded->topics[0].records.at(0).packed);
+    CHECK(decoded->topics[0].records.at(0).base == 1ULL << 63);
+    CHECK(decoded->topics[0].pending);
+    CHECK(decoded->topics[0].listing_end == 80);
+    REQUIRE(decoded->topics[0].listing.size() == 2);
+    const auto listed = unpack_listing(decoded->topics[0].listing[0]);
     REQUIRE(listed);
     CHECK(listed->at(0).offset == 88);
     CHECK(listed->at(0).record.value == std::string("\0\xff", 2));
-    CHECK(unpack_listing(told->topics[0].listing[1])->empty());
+    CHECK(unpack_listing(decoded->topics[0].listing[1])->empty());
     CHECK_FALSE(unpack_listing("not a part of a listing"));
     CHECK_FALSE(decode_feed_answer("not an answer"));
 }
--- a/src/libcypressford/directory_fold.cpp
+++ b/src/libcypressford/directory_fold.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-/// Identities that are gone are remembered this long, so that a late record of
-/// theirs does not bring them back.
-constexpr Micros kRememberGone = 120 * kSecond;
-/// Records of one start of an upstream place the end of its cold time within this: they
-/// are up to one heartbeat old when they are read.  A later end is a new start.
+/// Removed identities are remembered for this time, so that a late record does not add them
+/// again.
+constexpr Micros kRemovedRetention = 120 * kSecond;
+/// The ends of the cold time computed from the records of one start of an upstream differ
+/// by at most this: records are up to one heartbeat old when they are read.  A later end
+/// means a new start.
 constexpr Micros kColdTolerance = 1500 * kMillisecond;
 
-/// A run of an upstream against the one that is known of its identity.
+/// Order of a run of an upstream relative to the known run of its identity.
 enum class RunOrder : unsigned char { Older, Same, Newer };
 
-/// One that does not tell its start is older than any that does: an upstream that tells it
-/// always does, so the record is another writer's.
+/// A run without a start time is older than any run with one: an upstream that reports its
+/// start always does, so the record was written by something else.
 RunOrder
 order_of(std::int64_t born, std::int64_t known)
 {
@@ -73,7 +74,7 @@
 {
     for (auto& [identity, known] : m_known)
         if (!known.listed)
-            vanish(known, now, after_outage);
+            schedule_removal(known, now, after_outage);
 }
 
 bool
@@ -86,18 +87,18 @@
     if (!is_new && order == RunOrder::Older)
         return false;
     if (order == RunOrder::Newer) {
-        // Its records count anew, and nothing that the run before said holds for it.
-        std::optional<UpstreamMember> told = std::move(known.told);
+        // A new run numbers its records anew, and no state of the previous run applies.
+        std::optional<UpstreamMember> reported = std::move(known.reported);
         known = {};
-        known.told = std::move(told);
+        known.reported = std::move(reported);
         known.listed = true;
         is_new = true;
     }
-    // A record that was written late is older than what is known.
+    // A record that was written late is older than the known state.
     const bool is_older = record.sequence < known.sequence;
     if (!is_new && is_older && !mutated(Mutation::ReturnOfGone))
         return false;
-    const bool is_ending = !known.present || known.gone_at >= 0;
+    const bool is_ending = !known.present || known.removal_at >= 0;
     if (is_ending && record.sequence == known.sequence)
         return false;
     UpstreamMember member = record.member;
@@ -109,12 +110,13 @@
     const bool changed = is_new || !known.present || !(member == known.member);
     known.sequence = record.sequence;
     known.present = true;
-    // One that was thought to be gone is news to whoever else thinks so.
-    const bool returned = known.gone_at >= 0;
-    known.gone_at = -1;
+    // The return of an upstream that was due for removal must be passed on to other
+    // daemons.
+    const bool returned = known.removal_at >= 0;
+    known.removal_at = -1;
     known.member = std::move(member);
     if (changed)
-        note_changed(record.member.identity);
+        mark_changed(record.member.identity);
     return changed || returned;
 }
 
@@ -130,7 +132,7 @@
 }
 
 void
-DirectoryFold::note_listed(const std::string& identity)
+DirectoryFold::mark_listed(const std::string& identity)
 {
     if (const auto it = m_known.find(identity); it != m_known.end())
         it->second.listed = true;
@@ -141,21 +143,21 @@
 {
     auto it = m_known.find(identity);
     if (it != m_known.end())
-        vanish(it->second, now, after_outage);
+        schedule_removal(it->second, now, after_outage);
 }
 
 void
-DirectoryFold::vanish(Known& known, Micros now, bool after_outage)
+DirectoryFold::schedule_removal(Known& known, Micros now, bool after_outage)
 {
-    if (!known.present || known.gone_at >= 0)
+    if (!known.present || known.removal_at >= 0)
         return;
-    const bool believed = after_outage && !known.member.leaving;
-    known.gone_at = now + (believed ? m_vanish_grace : 0);
-    m_expiry_due = std::min(m_expiry_due, known.gone_at);
+    const bool is_kept = after_outage && !known.member.leaving;
+    known.removal_at = now + (is_kept ? m_removal_grace_period : 0);
+    m_expiry_due = std::min(m_expiry_due, known.removal_at);
 }
 
 void
-DirectoryFold::note_changed(const std::string& identity)
+DirectoryFold::mark_changed(const std::string& identity)
 {
     m_changed.insert(identity);
     ++m_revision;
@@ -171,16 +173,16 @@
     m_expiry_due = std::numeric_limits<Micros>::max();
     for (auto it = m_known.begin(); it != m_known.end();) {
         Known& known = it->second;
-        if (known.present && known.gone_at >= 0 && known.gone_at <= now) {
+        if (known.present && known.removal_at >= 0 && known.removal_at <= now) {
             known.present = false;
-            note_changed(it->first);
+            mark_changed(it->first);
         }
-        const Micros forgotten_at = known.gone_at + kRememberGone;
+        const Micros forgotten_at = known.removal_at + kRemovedRetention;
         const bool is_known
             = known.present || forgotten_at >= now || m_changed.contains(it->first);
-        if (known.gone_at >= 0 && is_known)
-            m_expiry_due
-                = std::min(m_expiry_due, known.present ? known.gone_at : forgotten_at + 1);
+        if (known.removal_at >= 0 && is_known)
+            m_expiry_due = std::min(m_expiry_due,
+                                    known.present ? known.removal_at : forgotten_at + 1);
         it = is_known ? std::next(it) : m_known.erase(it);
     }
 }
@@ -194,10 +196,10 @@
         std::optional<UpstreamMember> now;
         if (known.present)
             now = known.member;
-        if (known.told == now)
+        if (known.reported == now)
             continue;
-        changes.push_back({std::move(known.told), now});
-        known.told = std::move(now);
+        changes.push_back({std::move(known.reported), now});
+        known.reported = std::move(now);
     }
     m_changed.clear();
     return changes;
--- a/src/libcypressford/directory_fold_test.cpp
+++ b/src/libcypressford/directory_fold_test.cpp
@@ -7,7 +7,7 @@
 namespace cypressford {
 namespace {
 
-constexpr Micros kGrace = 1200 * kMillisecond;
+constexpr Micros kGracePeriod = 1200 * kMillisecond;
 
 Bundle
 version(std::uint64_t number)
@@ -26,9 +26,9 @@
     return result;
 }
 
-TEST_CASE("a configuration never goes back")
+TEST_CASE("the version of the configuration never decreases")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     CHECK(fold.offer_configuration(version(4)));
     CHECK_FALSE(fold.offer_configuration(version(4)));
     CHECK_FALSE(fold.offer_configuration(version(3)));
@@ -37,9 +37,9 @@
     CHECK(fold.configuration()->version == 9);
 }
 
-TEST_CASE("an upstream that is leaving does not come back by a late record")
+TEST_CASE("a late record does not undo that an upstream is leaving")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 5));
     fold.apply(record("a", 7, true));
     REQUIRE(fold.members().size() == 1);
@@ -51,9 +51,9 @@
     CHECK(fold.members().front().leaving);
 }
 
-TEST_CASE("a dropped upstream stays away until a newer record of its own")
+TEST_CASE("a dropped upstream remains removed until it writes a newer record")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 5));
     fold.drop("a", 10, false);
     fold.expire(10);
@@ -66,9 +66,9 @@
     CHECK(fold.members().size() == 1);
 }
 
-TEST_CASE("what vanished in an outage is believed in for the grace, not longer")
+TEST_CASE("upstreams dropped in an outage are kept for the grace period, and no longer")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 5));
     fold.apply(record("b", 5, true));
     fold.drop("a", 0, true);
@@ -76,25 +76,25 @@
     fold.expire(0);
     REQUIRE(fold.members().size() == 1);
     CHECK(fold.members().front().identity == "a");
-    fold.expire(kGrace - 1);
+    fold.expire(kGracePeriod - 1);
     CHECK(fold.members().size() == 1);
-    fold.expire(kGrace);
+    fold.expire(kGracePeriod);
     CHECK(fold.members().empty());
 }
 
-TEST_CASE("a record within the grace keeps an upstream")
+TEST_CASE("a record within the grace period keeps an upstream")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 5));
     fold.drop("a", 0, true);
     fold.apply(record("a", 6));
-    fold.expire(2 * kGrace);
+    fold.expire(2 * kGracePeriod);
     CHECK(fold.members().size() == 1);
 }
 
-TEST_CASE("a listing drops what it does not name")
+TEST_CASE("a listing drops upstreams that it does not contain")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 1));
     fold.apply(record("b", 1));
     fold.begin_listing();
@@ -105,9 +105,9 @@
     CHECK(fold.members().front().identity == "b");
 }
 
-TEST_CASE("revision counts changes only, not signs of life")
+TEST_CASE("the revision counts changes only, not keepalives")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 1));
     const auto before = fold.revision();
     fold.apply(record("a", 2));
@@ -116,9 +116,9 @@
     CHECK(fold.revision() == before + 1);
 }
 
-TEST_CASE("a record that is written again behind the end of its upstream changes nothing")
+TEST_CASE("a record that is written again after the end of its upstream changes nothing")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     fold.apply(record("a", 3));
     fold.drop("a", 0, false);
     CHECK_FALSE(fold.apply(record("a", 3)));
@@ -126,15 +126,15 @@
     CHECK(fold.members().empty());
 }
 
-TEST_CASE("only what is news to others changes the fold")
+TEST_CASE("only changes that matter to other daemons are reported as such")
 {
-    DirectoryFold fold(kGrace);
+    DirectoryFold fold(kGracePeriod);
     CHECK(fold.apply(record("a", 1)));
     CHECK_FALSE(fold.apply(record("a", 2)));
     CHECK(fold.apply(record("a", 3, true)));
     CHECK(fold.apply(record("b", 1)));
     fold.drop("b", 0, true);
-    // It comes back within its grace.
+    // The upstream returns within its grace period.
     CHECK(fold.apply(record("b", 2)));
 }
 
--- a/src/libcypressford/directory_view.cpp
+++ b/src/libcypressford/directory_view.cpp
@@ -16,16 +16,16 @@
 namespace cypressford {
 
 DirectoryView::DirectoryView(const DirectoryDialect& dialect, DirectoryPace pace,
-                             Micros vanish_grace, std::string node, std::string hall,
-                             double writes_per_s, Micros now)
+                             Micros removal_grace_period, std::string node,
+                             std::string hall, double writes_per_s, Micros now)
     : m_dialect(dialect)
     , m_pace(pace)
     , m_hall(std::move(hall))
     , m_writes_per_s(writes_per_s)
     , m_started_at(now)
-    , m_draw(spread(fast_hash(node)))
-    , m_fold(vanish_grace)
-    , m_daemons(std::move(node), silent_after(1, writes_per_s))
+    , m_jitter_fraction(spread(fast_hash(node)))
+    , m_fold(removal_grace_period)
+    , m_daemons(std::move(node), record_timeout(1, writes_per_s))
 {
     for (TopicView& view : m_views) {
         view.as_of = now;
@@ -38,7 +38,7 @@
 void
 DirectoryView::begin_listing(DirectoryTopic topic, Micros now)
 {
-    of(topic).asked_at = now;
+    of(topic).requested_at = now;
     open_listing(topic);
 }
 
@@ -46,9 +46,9 @@
 DirectoryView::open_listing(DirectoryTopic topic)
 {
     of(topic).listing.begin_listing();
-    // What lies in the directory may be an older configuration, written late.
+    // The directory may hold an older configuration that was written late.
     if (topic == DirectoryTopic::Configuration)
-        of(topic).listing.name(m_configuration_key);
+        of(topic).listing.mark_present(m_configuration_key);
     if (topic == DirectoryTopic::Upstreams)
         m_fold.begin_listing();
     if (topic == DirectoryTopic::Configuration)
@@ -58,96 +58,98 @@
 }
 
 DirectoryChange
-DirectoryView::take_listed(DirectoryTopic topic,
-                           const std::vector<DirectoryRecord>& records, Micros now)
+DirectoryView::apply_listed(DirectoryTopic topic,
+                            const std::vector<DirectoryRecord>& records, Micros now)
 {
     DirectoryChange change;
     const bool after_outage = is_after_outage(topic, now);
     for (const DirectoryRecord& record : records) {
         const bool changed
-            = take_record(topic, record, record.offset, after_outage, now, change);
-        note_newest(topic, record, record.offset, changed || is_in_force(topic, record));
-        of(topic).listing.name(record.key);
+            = apply_record(topic, record, record.offset, after_outage, now, change);
+        record_newest(topic, record, record.offset, changed || is_in_force(topic, record));
+        of(topic).listing.mark_present(record.key);
     }
     return change;
 }
 
 void
-DirectoryView::end_listing(DirectoryTopic topic, Offset end, Micros asked_at, Micros now)
+DirectoryView::end_listing(DirectoryTopic topic, Offset end, Micros requested_at,
+                           Micros now)
 {
     TopicView& view = of(topic);
     if (topic == DirectoryTopic::Upstreams)
         m_fold.end_listing(now, is_after_outage(topic, now));
     if (topic == DirectoryTopic::Configuration)
-        end_evacuations(end, now);
+        end_evacuation_listing(end, now);
     if (topic == DirectoryTopic::Suspects)
         m_suspects.end_listing(end);
-    // Another daemon may tell of a time before this one started.
+    // A feed may carry a state confirmed before this daemon started.
     if (!std::exchange(view.was_listed, true))
-        view.as_of = asked_at;
+        view.as_of = requested_at;
     if (std::exchange(view.is_restored, false))
-        view.returns_until = now + m_pace.outage;
+        view.rewrites_until = now + m_pace.outage;
     view.next = end;
-    view.known_to = std::max(view.known_to, end);
+    view.known_end = std::max(view.known_end, end);
     view.listing.end_listing();
     view.history.restart(end);
-    confirm(topic, asked_at, now);
+    confirm(topic, requested_at, now);
 }
 
 void
-DirectoryView::end_evacuations(Offset end, Micros now)
+DirectoryView::end_evacuation_listing(Offset end, Micros now)
 {
-    std::optional<Micros> believed_until;
+    std::optional<Micros> valid_until;
     if (of(DirectoryTopic::Configuration).is_restored)
-        believed_until = now + m_fold.vanish_grace();
-    if (m_fold.evacuations().end_listing(end, believed_until))
-        m_fold.note_evacuations_changed();
+        valid_until = now + m_fold.removal_grace_period();
+    if (m_fold.evacuations().end_listing(end, valid_until))
+        m_fold.on_evacuations_changed();
 }
 
 DirectoryChange
-DirectoryView::take_page(DirectoryTopic topic, Offset from,
-                         const std::vector<DirectoryRecord>& records, Micros asked_at,
-                         Micros waited, Micros now)
+DirectoryView::apply_page(DirectoryTopic topic, Offset from,
+                          const std::vector<DirectoryRecord>& records, Micros requested_at,
+                          Micros waited, Micros now)
 {
     TopicView& view = of(topic);
     const bool after_outage = is_after_outage(topic, now);
     DirectoryChange change;
     Offset offset = from;
     for (const DirectoryRecord& record : records) {
-        // The reader of the hall may have told of it meanwhile.
+        // The reader of the hall may have sent the record while the request was pending.
         const bool is_seen = view.next && offset < *view.next;
-        // Not of a configuration if it told a listing, whose newest one was written late.
+        // A configuration is applied nevertheless: the reader may have sent a listing, in
+        // which the newest configuration was an older one, written late.
         const bool is_taken = !is_seen || is_configuration(topic, record);
         const bool changed
-            = is_taken && take_record(topic, record, offset, after_outage, now, change);
+            = is_taken && apply_record(topic, record, offset, after_outage, now, change);
         if (!is_seen && (changed || is_in_force(topic, record)))
-            keep(topic, offset, record);
+            keep_record(topic, offset, record);
         change.news |= changed && topic != DirectoryTopic::Daemons;
-        note_newest(topic, record, offset, changed || is_in_force(topic, record));
+        record_newest(topic, record, offset, changed || is_in_force(topic, record));
         ++offset;
     }
     view.next = std::max(view.next.value_or(offset), offset);
-    view.known_to = std::max(view.known_to, *view.next);
+    view.known_end = std::max(view.known_end, *view.next);
     view.history.advance(offset);
     view.just_changed = !records.empty();
-    // An empty answer says that nothing came all the time that the question waited.
-    confirm(topic, asked_at + (records.empty() ? waited : 0), now);
+    // An empty answer confirms that no record was written while the request waited.
+    confirm(topic, requested_at + (records.empty() ? waited : 0), now);
     return change;
 }
 
 void
-DirectoryView::note_history_lost(DirectoryTopic topic, Micros now)
+DirectoryView::on_history_lost(DirectoryTopic topic, Micros now)
 {
     of(topic).next.reset();
     of(topic).unlisted_since = now;
 }
 
 bool
-DirectoryView::note_generation(LogGeneration told, Micros now)
+DirectoryView::record_generation(LogGeneration generation, Micros now)
 {
-    if (told == 0 || told == m_generation)
+    if (generation == 0 || generation == m_generation)
         return false;
-    const bool is_first = std::exchange(m_generation, told) == 0;
+    const bool is_first = std::exchange(m_generation, generation) == 0;
     if (is_first || mutated(Mutation::KeepOffsets))
         return false;
     ++m_restores;
@@ -158,13 +160,13 @@
     return true;
 }
 
-/// What is known holds on; the listing that follows adds to it.
+/// Keeps the known state; the listing that follows adds to it.
 void
 DirectoryView::forget_offsets(DirectoryTopic topic, Micros now)
 {
     TopicView& view = of(topic);
-    note_history_lost(topic, now);
-    view.known_to = 0;
+    on_history_lost(topic, now);
+    view.known_end = 0;
     view.is_restored = true;
     view.overdue = false;
     view.just_changed = false;
@@ -184,19 +186,19 @@
     return records;
 }
 
-/// Keeps it for daemons that know nothing yet.  A configuration that is not in force is
-/// none that they should begin with.
+/// Keeps the record for daemons that know nothing yet.  A configuration that is not in
+/// force is left out, so that they don't start with it.
 void
-DirectoryView::note_newest(DirectoryTopic topic, const DirectoryRecord& record, Offset at,
-                           bool in_force)
+DirectoryView::record_newest(DirectoryTopic topic, const DirectoryRecord& record, Offset at,
+                             bool in_force)
 {
-    const bool is_vital
+    const bool is_required
         = topic == DirectoryTopic::Configuration || topic == DirectoryTopic::Upstreams;
     const bool is_evacuation = topic == DirectoryTopic::Configuration
         && m_dialect.decode_evacuation(record).has_value();
     if (record.value.empty())
         of(topic).listing.erase(record.key);
-    else if (!is_vital || is_evacuation
+    else if (!is_required || is_evacuation
              || (topic == DirectoryTopic::Configuration && in_force))
         of(topic).listing.put(record, at);
 }
@@ -207,8 +209,9 @@
     return topic == DirectoryTopic::Configuration && !m_dialect.decode_evacuation(record);
 }
 
-/// True for the configuration in force, written once more: it changes nothing here, but
-/// whoever listed an older one, written late in between, has missed it.
+/// True if the record is the configuration in force, written again: it changes nothing
+/// here, but a daemon that listed the topic after an older one was written late has missed
+/// it.
 bool
 DirectoryView::is_in_force(DirectoryTopic topic, const DirectoryRecord& record) const
 {
@@ -216,7 +219,7 @@
         && fast_hash(record.value) == m_configuration_hash;
 }
 
-/// A configuration takes the place of all before it; an evacuation stands beside it.
+/// A configuration replaces all earlier ones; evacuation records are kept beside it.
 void
 DirectoryView::keep_configuration(Offset offset, const DirectoryRecord& record)
 {
@@ -227,17 +230,18 @@
         history.append_state(offset, record);
 }
 
-/// Keeps a record for daemons that ask for it.
+/// Keeps a record for daemons that query this one.
 void
-DirectoryView::keep(DirectoryTopic topic, Offset offset, const DirectoryRecord& record)
+DirectoryView::keep_record(DirectoryTopic topic, Offset offset,
+                           const DirectoryRecord& record)
 {
     RecordHistory& history = of(topic).history;
     if (topic == DirectoryTopic::Configuration) {
         keep_configuration(offset, record);
         return;
     }
-    // Others were not told of signs of life.  With the last of them they take no
-    // older record, written late, for a return.
+    // Followers were not sent keepalives.  They need the last one, or else they mistake an
+    // older record that is written late for the upstream's return.
     const TopicListing::Entry* last = of(topic).listing.find(record.key);
     const bool is_end = topic == DirectoryTopic::Upstreams && record.value.empty();
     if (is_end && last && !mutated(Mutation::ForgetLastRecord))
@@ -247,12 +251,13 @@
 
 // ------------------------------------------------------------------- records
 
-/// True if records that went may have lapsed because the directory was away.
+/// True if missing records may have expired because of an outage of the directory.
 bool
 DirectoryView::is_after_outage(DirectoryTopic topic, Micros now) const
 {
     const TopicView& view = of(topic);
-    return view.is_restored || now < view.returns_until || now - view.as_of > m_pace.outage;
+    return view.is_restored || now < view.rewrites_until
+        || now - view.as_of > m_pace.outage;
 }
 
 void
@@ -262,35 +267,35 @@
     view.as_of = std::max(view.as_of, as_of);
     if (topic != DirectoryTopic::Daemons)
         return;
-    m_daemons.note_read(now);
-    m_daemons.set_silent_after(silent_after(m_daemons.alive(), m_writes_per_s));
+    m_daemons.on_directory_read(now);
+    m_daemons.set_record_timeout(record_timeout(m_daemons.alive(), m_writes_per_s));
 }
 
-/// True if the record changed something that other daemons must know.
+/// True if the record changed something that must be passed on to other daemons.
 bool
-DirectoryView::take_record(DirectoryTopic topic, const DirectoryRecord& record, Offset at,
-                           bool after_outage, Micros now, DirectoryChange& change)
+DirectoryView::apply_record(DirectoryTopic topic, const DirectoryRecord& record, Offset at,
+                            bool after_outage, Micros now, DirectoryChange& change)
 {
     switch (topic) {
     case DirectoryTopic::Configuration:
-        return take_configuration(record, at, change);
+        return apply_configuration(record, at, change);
     case DirectoryTopic::Upstreams:
-        return take_upstream(record, at, after_outage, now, change);
+        return apply_upstream(record, at, after_outage, now, change);
     case DirectoryTopic::Suspects:
-        return take_suspects(record, at, change);
+        return apply_suspects(record, at, change);
     case DirectoryTopic::Daemons:
         break;
     }
-    take_daemon(record, now, change);
+    apply_daemon(record, now, change);
     return true;
 }
 
 bool
-DirectoryView::take_configuration(const DirectoryRecord& record, Offset at,
-                                  DirectoryChange& change)
+DirectoryView::apply_configuration(const DirectoryRecord& record, Offset at,
+                                   DirectoryChange& change)
 {
     if (const auto evacuation = m_dialect.decode_evacuation(record))
-        return take_evacuation(*evacuation, at);
+        return apply_evacuation(*evacuation, at);
     auto bundle = m_dialect.decode_configuration(record);
     if (!bundle) {
         change.unread.push_back(
@@ -312,17 +317,17 @@
 }
 
 bool
-DirectoryView::take_evacuation(const EvacuationRecord& evacuation, Offset at)
+DirectoryView::apply_evacuation(const EvacuationRecord& evacuation, Offset at)
 {
     const bool changed = m_fold.evacuations().apply(evacuation, at);
     if (changed)
-        m_fold.note_evacuations_changed();
+        m_fold.on_evacuations_changed();
     return changed;
 }
 
 bool
-DirectoryView::take_upstream(const DirectoryRecord& record, Offset at, bool after_outage,
-                             Micros now, DirectoryChange& change)
+DirectoryView::apply_upstream(const DirectoryRecord& record, Offset at, bool after_outage,
+                              Micros now, DirectoryChange& change)
 {
     if (record.value.empty()) {
         m_fold.drop(record.key, now, after_outage);
@@ -331,21 +336,21 @@
     const auto upstream = m_dialect.decode_upstream(record);
     if (upstream) {
         const bool changed = m_fold.apply(*upstream, now);
-        // Whoever is told of one that was written late, and then of the upstream's end,
-        // takes the records in between for its return.
+        // A daemon that is sent an outdated record, and then the upstream's end, mistakes
+        // the records in between for the upstream's return.
         if (!m_fold.is_outdated(*upstream))
             of(DirectoryTopic::Upstreams).listing.put(record, at);
         return changed;
     }
-    m_fold.note_listed(record.key);
+    m_fold.mark_listed(record.key);
     change.unread.push_back(
         {DirectoryTopic::Upstreams, record.key, upstream.error().detail});
     return false;
 }
 
 bool
-DirectoryView::take_suspects(const DirectoryRecord& record, Offset at,
-                             DirectoryChange& change)
+DirectoryView::apply_suspects(const DirectoryRecord& record, Offset at,
+                              DirectoryChange& change)
 {
     if (record.value.empty())
         return m_suspects.drop(record.key);
@@ -359,20 +364,21 @@
 }
 
 void
-DirectoryView::take_daemon(const DirectoryRecord& record, Micros now,
-                           DirectoryChange& change)
+DirectoryView::apply_daemon(const DirectoryRecord& record, Micros now,
+                            DirectoryChange& change)
 {
     if (record.value.empty()) {
         m_daemons.drop(record.key);
-        DaemonRecord gone;
-        gone.node = record.key;
-        gone.stopping = true;
-        m_new_daemons.push_back(std::move(gone));
+        DaemonRecord removed;
+        removed.node = record.key;
+        removed.stopping = true;
+        m_new_daemons.push_back(std::move(removed));
     } else if (auto daemon = decode_daemon(record.value)) {
-        // An older copy holds what a daemon wrote before its last start.
-        if (of(DirectoryTopic::Daemons).is_restored && m_daemons.knows_other_start(*daemon))
+        // A restored log holds records that a daemon wrote before its last start.
+        if (of(DirectoryTopic::Daemons).is_restored
+            && m_daemons.knows_other_incarnation(*daemon))
             return;
-        m_lived_before |= m_own && daemon->node == m_own->node
+        m_had_earlier_record |= m_own && daemon->node == m_own->node
             && daemon->incarnation != m_own->incarnation;
         m_daemons.apply(*daemon, now);
         m_new_daemons.push_back(*std::move(daemon));
--- a/src/libcypressford/directory_view_feed.cpp
+++ b/src/libcypressford/directory_view_feed.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a DirectoryView takes from another daemon's, and tells to others.
+/// The part of DirectoryView that queries other daemons' views and answers their queries.
 
 #include <cypressford/directory_view.h>
 
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// Of a listing: as old as can be.
+/// Time of confirmation of a listing whose age is not known yet: the oldest possible.
 constexpr Micros kUnknownAge = 0;
-/// So many times in a row a reader may know less than the directory.
+/// Consecutive misses after which a reader is replaced.
 constexpr int kMissesAllowed = 2;
 
 } // namespace
@@ -44,17 +44,17 @@
 }
 
 DirectoryChange
-DirectoryView::take_answer(const FeedAnswer& answer, Micros asked_at, Micros now)
+DirectoryView::take_answer(const FeedAnswer& answer, Micros requested_at, Micros now)
 {
     DirectoryChange change;
     if (!shares_offsets(answer.generation) && !mutated(Mutation::TakeOlderGeneration))
         return change;
-    Micros on_the_way = std::max<Micros>(0, now - asked_at - answer.held);
+    Micros in_transit = std::max<Micros>(0, now - requested_at - answer.held);
     if (mutated(Mutation::ForgetTransit))
-        on_the_way = 0;
+        in_transit = 0;
     for (const FeedAnswer::Topic& topic : answer.topics) {
         if (topic.covered)
-            take_topic(topic, now - topic.age - on_the_way, now, change);
+            apply_topic(topic, now - topic.age - in_transit, now, change);
         else
             of(topic.topic).overdue = !topic.pending;
         of(topic.topic).is_pending = topic.pending;
@@ -62,18 +62,20 @@
     return change;
 }
 
-/// Daemons of an earlier version tell no generation: while the log was never restored,
-/// theirs is the same.
+/// Daemons of an earlier version send no generation: as long as the log was never restored,
+/// their generation is the same.
 bool
-DirectoryView::shares_offsets(LogGeneration told) const
+DirectoryView::shares_offsets(LogGeneration generation) const
 {
-    return told == m_generation || m_generation == 0 || (told == 0 && m_restores == 0);
+    return generation == m_generation || m_generation == 0
+        || (generation == 0 && m_restores == 0);
 }
 
 FeedQuery::Cursor
-DirectoryView::translated(const FeedQuery::Cursor& cursor, LogGeneration generation) const
+DirectoryView::to_local_cursor(const FeedQuery::Cursor& cursor,
+                               LogGeneration generation) const
 {
-    // An asker of an earlier version tells no generation, also once it has listed anew.
+    // A requester of an earlier version sends no generation even after it listed again.
     const bool is_ahead = cursor.from > of(cursor.topic).history.next();
     const bool is_foreign
         = generation == 0 ? m_restores > 0 && is_ahead : !shares_offsets(generation);
@@ -86,13 +88,13 @@
 }
 
 void
-DirectoryView::take_topic(const FeedAnswer::Topic& topic, Micros as_of, Micros now,
-                          DirectoryChange& change)
+DirectoryView::apply_topic(const FeedAnswer::Topic& topic, Micros as_of, Micros now,
+                           DirectoryChange& change)
 {
     TopicView& view = of(topic.topic);
     const bool after_outage = is_after_outage(topic.topic, now);
     const bool is_behind = !view.next || *view.next < topic.listing_end;
-    if (is_behind && !take_listing(topic, now, change)) {
+    if (is_behind && !apply_listing(topic, now, change)) {
         view.overdue = true;
         return;
     }
@@ -103,30 +105,30 @@
         OffsetRecord whole = entry;
         if (!RecordPacker::unpack(whole, view.history)) {
             change.unread.push_back(
-                {topic.topic, entry.record.key, "packed against what is not known"});
+                {topic.topic, entry.record.key, "compressed against an unknown value"});
             view.overdue = true;
             return;
         }
-        const bool changed = take_record(topic.topic, whole.record, whole.offset,
-                                         after_outage, now, change);
+        const bool changed = apply_record(topic.topic, whole.record, whole.offset,
+                                          after_outage, now, change);
         change.news |= changed && topic.topic != DirectoryTopic::Daemons;
-        keep_told(topic.topic, whole, changed);
+        keep_received(topic.topic, whole, changed);
     }
     view.next = std::max(seen, topic.next);
-    view.known_to = std::max(view.known_to, *view.next);
+    view.known_end = std::max(view.known_end, *view.next);
     view.history.advance(*view.next);
     if (as_of > view.as_of)
         view.misses = 0;
     confirm(topic.topic, as_of, now);
 }
 
-/// A listing that is older than what was known before the topic had to be listed would take
-/// some of it back.
+/// A listing older than the state known before the topic had to be listed would revert some
+/// of that state.
 bool
-DirectoryView::take_listing(const FeedAnswer::Topic& topic, Micros now,
-                            DirectoryChange& change)
+DirectoryView::apply_listing(const FeedAnswer::Topic& topic, Micros now,
+                             DirectoryChange& change)
 {
-    const bool is_older = topic.listing_end < of(topic.topic).known_to
+    const bool is_older = topic.listing_end < of(topic.topic).known_end
         && !mutated(Mutation::TakeOlderListing);
     if (topic.listing.empty() || is_older)
         return false;
@@ -142,34 +144,35 @@
                 {std::move(entry.record.key), std::move(entry.record.value), entry.offset});
     }
     open_listing(topic.topic);
-    const DirectoryChange listed = take_listed(topic.topic, records, now);
+    const DirectoryChange listed = apply_listed(topic.topic, records, now);
     change.unread.insert(change.unread.end(), listed.unread.begin(), listed.unread.end());
-    // How old it is holds of it and the records that follow.
+    // The age in the answer applies to the listing together with the records that follow.
     end_listing(topic.topic, topic.listing_end, kUnknownAge, now);
     change.news = true;
     return true;
 }
 
-/// Keeps what another daemon told for those that ask this one.
+/// Keeps a record received from another daemon for daemons that query this one.
 void
-DirectoryView::keep_told(DirectoryTopic topic, const OffsetRecord& told, bool changed)
+DirectoryView::keep_received(DirectoryTopic topic, const OffsetRecord& received,
+                             bool changed)
 {
     RecordHistory& history = of(topic).history;
-    const bool in_force = changed || is_in_force(topic, told.record);
-    note_newest(topic, told.record, told.offset, in_force);
+    const bool in_force = changed || is_in_force(topic, received.record);
+    record_newest(topic, received.record, received.offset, in_force);
     if (topic == DirectoryTopic::Configuration && in_force)
-        keep_configuration(told.offset, told.record);
-    else if (changed || !told.is_sign)
-        // Kept also if it changed nothing here: it may do so elsewhere.
-        history.append(told.offset, told.record);
+        keep_configuration(received.offset, received.record);
+    else if (changed || !received.is_keepalive)
+        // Kept even if it changed nothing here: it may change the state of other daemons.
+        history.append(received.offset, received.record);
 }
 
 bool
-DirectoryView::note_missed(DirectoryTopic topic, Micros now)
+DirectoryView::record_reader_miss(DirectoryTopic topic, Micros now)
 {
-    const bool is_vital
+    const bool is_required
         = topic == DirectoryTopic::Configuration || topic == DirectoryTopic::Upstreams;
-    if (!is_vital || is_new(now))
+    if (!is_required || is_starting(now))
         return false;
     int& misses = of(topic).misses;
     if (++misses < kMissesAllowed)
@@ -178,23 +181,23 @@
     return true;
 }
 
-// ------------------------------------------------------------ for others
+// ------------------------------------------------------ for other daemons
 
-/// Records of daemons are no news that an answer would not wait for.
+/// New records of daemons don't end the wait of a query.
 bool
 DirectoryView::must_answer(const FeedQuery& query) const
 {
     if (query.takes_unreachable
         && query.unreachable_revision != m_unreachable.list().revision)
         return true;
-    return std::any_of(query.cursors.begin(), query.cursors.end(), [&](const auto& told) {
-        const FeedQuery::Cursor c = translated(told, query.generation);
+    return std::any_of(query.cursors.begin(), query.cursors.end(), [&](const auto& cursor) {
+        const FeedQuery::Cursor c = to_local_cursor(cursor, query.generation);
         const TopicView& view = of(c.topic);
         if (!view.next)
             return false;
         if (!view.history.covers(c.from))
             return true;
-        return c.topic != DirectoryTopic::Daemons && view.history.has_news(c.from);
+        return c.topic != DirectoryTopic::Daemons && view.history.has_changes(c.from);
     });
 }
 
@@ -203,16 +206,16 @@
 {
     FeedAnswer answer;
     answer.generation = m_generation;
-    for (const FeedQuery::Cursor& told : query.cursors) {
-        const FeedQuery::Cursor cursor = translated(told, query.generation);
+    for (const FeedQuery::Cursor& requested : query.cursors) {
+        const FeedQuery::Cursor cursor = to_local_cursor(requested, query.generation);
         FeedAnswer::Topic topic = answer_to(cursor, now);
         const bool wants_signs
             = query.wants_signs && cursor.topic == DirectoryTopic::Upstreams;
         if (topic.covered && wants_signs)
-            add_signs(topic.records,
-                      topic.listing.empty() ? cursor.from : topic.listing_end);
+            add_keepalives(topic.records,
+                           topic.listing.empty() ? cursor.from : topic.listing_end);
         TopicView& view = of(cursor.topic);
-        // An asker that takes a listing forgets the value that it named.
+        // A requester that applies a listing discards the value whose hash it sent.
         const std::uint64_t base = topic.listing.empty() ? cursor.base : 0;
         if (query.takes_packed)
             for (OffsetRecord& entry : topic.records)
@@ -225,7 +228,7 @@
     return answer;
 }
 
-/// What changed since, or all there is for an asker that takes that.
+/// Changes from the cursor on, or a listing if they are not known and it is accepted.
 FeedAnswer::Topic
 DirectoryView::answer_to(const FeedQuery::Cursor& cursor, Micros now)
 {
@@ -249,17 +252,17 @@
     return topic;
 }
 
-/// Newest records of upstreams at `from` or later that changed nothing.
+/// Adds newest records of upstreams at `from` or later that changed nothing.
 void
-DirectoryView::add_signs(std::vector<OffsetRecord>& records, Offset from) const
+DirectoryView::add_keepalives(std::vector<OffsetRecord>& records, Offset from) const
 {
-    std::set<Offset> told;
+    std::set<Offset> present;
     for (const OffsetRecord& entry : records)
-        told.insert(entry.offset);
-    for (OffsetRecord& sign : of(DirectoryTopic::Upstreams).listing.since(from)) {
-        sign.is_sign = true;
-        if (!told.contains(sign.offset))
-            records.push_back(std::move(sign));
+        present.insert(entry.offset);
+    for (OffsetRecord& newest : of(DirectoryTopic::Upstreams).listing.since(from)) {
+        newest.is_keepalive = true;
+        if (!present.contains(newest.offset))
+            records.push_back(std::move(newest));
     }
     std::stable_sort(records.begin(), records.end(),
                      [](const auto& a, const auto& b) { return a.offset < b.offset; });
--- a/src/libcypressford/directory_view_test.cpp
+++ b/src/libcypressford/directory_view_test.cpp
@@ -13,15 +13,15 @@
 namespace {
 
 TEST_CASE(
-    "a fresh daemon takes no requests before it knows who leads and which requests are "
-    "refused, if it can know")
+    "a fresh daemon does not serve before it has listed daemons and suspects, or waited "
+    "for them")
 {
     TextDialect dialect;
     const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
     const auto list = [](DirectoryView& view, DirectoryTopic topic) {
         view.begin_listing(topic, 0);
         if (topic == DirectoryTopic::Configuration)
-            view.take_listed(topic, {{"config", "1"}}, 0);
+            view.apply_listed(topic, {{"config", "1"}}, 0);
         view.end_listing(topic, 1, 0, 0);
     };
     DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
@@ -36,7 +36,7 @@
     CHECK(view.can_serve(10 * kMillisecond));
 }
 
-TEST_CASE("a reader asks a directory that is away at the same pace all along")
+TEST_CASE("readers retry an unavailable directory at a constant rate")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -44,16 +44,16 @@
     const std::vector<DaemonRecord> records = fleet(40);
     for (const DaemonRecord& own : records) {
         DirectoryView view(dialect, pace, 0, own.node, own.hall, 400, 0);
-        CHECK(view.retry_pause(9) < 500 * kMillisecond);
+        CHECK(view.retry_delay(9) < 500 * kMillisecond);
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
             if (topic == DirectoryTopic::Configuration)
-                view.take_listed(topic, {{"config", "1"}}, 0);
+                view.apply_listed(topic, {{"config", "1"}}, 0);
             view.end_listing(topic, 1, 0, 0);
         }
         for (const DaemonRecord& record : records)
             view.daemons().apply(record, 0);
-        longest[view.source().role] = view.retry_pause(9);
+        longest[view.source().role] = view.retry_delay(9);
     }
     REQUIRE(longest.size() == 3);
     CHECK(longest[DirectoryRole::Root] == 500 * kMillisecond);
@@ -61,10 +61,10 @@
     CHECK(longest[DirectoryRole::Follower] == 2 * kSecond);
 }
 
-/// Users saw a key that had been revoked work on for 5 s: a daemon that had just started
-/// was told the configuration by a reader that the directory then turned away, and slept
-/// until it would have listed by itself.
-TEST_CASE("a daemon that waits to be told renews in time what it is told")
+/// Guards against a revoked key being accepted for 5 s: a daemon that had just started got
+/// the configuration from a reader whose requests the directory then rejected, and did not
+/// refresh it before the time at which it would have listed the topic itself.
+TEST_CASE("a daemon that waits for records from a reader refreshes them in time")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -72,7 +72,7 @@
     for (const DirectoryTopic topic : DirectoryView::kTopics) {
         reader.begin_listing(topic, 0);
         if (topic == DirectoryTopic::Configuration)
-            reader.take_listed(topic, {{"config", "1"}}, 0);
+            reader.apply_listed(topic, {{"config", "1"}}, 0);
         reader.end_listing(topic, 1, 0, 0);
     }
     const std::vector<DaemonRecord> records = fleet(2);
@@ -80,17 +80,17 @@
         DirectoryView fresh(dialect, pace, 0, "fresh" + std::to_string(draw), "hall", 400,
                             0);
         fresh.expect_referral(records[0], false);
-        fresh.take_referral({DirectoryRole::Follower, {records[1]}}, 0);
-        const Micros sleeps_until = fresh.time_until_read(DirectoryTopic::Configuration, 0);
-        CHECK(sleeps_until > 0);
+        fresh.apply_referral({DirectoryRole::Follower, {records[1]}}, 0);
+        const Micros waits_until = fresh.time_until_read(DirectoryTopic::Configuration, 0);
+        CHECK(waits_until > 0);
         fresh.take_answer(reader.answer_to(fresh.query(), 0), 0, 0);
         REQUIRE(fresh.fold().configuration());
         const Micros must_read_at = fresh.time_until_read(DirectoryTopic::Configuration, 0);
-        CHECK(sleeps_until <= must_read_at);
+        CHECK(waits_until <= must_read_at);
     }
 }
 
-TEST_CASE("a reader that did not answer is asked once more while what is known stays fresh")
+TEST_CASE("a reader that did not answer is queried once more while the state is not stale")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -98,7 +98,7 @@
     const std::vector<DaemonRecord> records = fleet(40);
     for (const DaemonRecord& own : records) {
         DirectoryView view(dialect, pace, 0, own.node, own.hall, 400, 0);
-        CHECK_FALSE(view.may_ask_again(answer_time, 0));
+        CHECK_FALSE(view.may_retry_reader(answer_time, 0));
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
             view.end_listing(topic, 1, 0, 0);
@@ -107,12 +107,12 @@
             view.daemons().apply(record, 0);
         const bool is_reader = view.source().role == DirectoryRole::HallReader;
         const Micros fresh = is_reader ? pace.reader_stale_after : pace.stale_after;
-        CHECK(view.may_ask_again(answer_time, fresh - answer_time - 1));
-        CHECK_FALSE(view.may_ask_again(answer_time, fresh - answer_time));
+        CHECK(view.may_retry_reader(answer_time, fresh - answer_time - 1));
+        CHECK_FALSE(view.may_retry_reader(answer_time, fresh - answer_time));
     }
 }
 
-TEST_CASE("a reader that gives signs of life but no news is left within the bound")
+TEST_CASE("a reader that sends keepalives but no records is abandoned within the bound")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -123,55 +123,56 @@
     };
     list(DirectoryTopic::Configuration, 100 * kMillisecond);
     list(DirectoryTopic::Upstreams, 300 * kMillisecond);
-    CHECK(view.reader_due_at() == 2 * kSecond + 100 * kMillisecond);
+    CHECK(view.reader_deadline() == 2 * kSecond + 100 * kMillisecond);
 }
 
-TEST_CASE("a configuration that is written again reaches who listed an older one")
+TEST_CASE("a configuration that is written again reaches a daemon that listed an older one")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
     const auto list = [](DirectoryView& view, const char* version, Offset end) {
         view.begin_listing(DirectoryTopic::Configuration, 0);
-        view.take_listed(DirectoryTopic::Configuration, {{"config", version}}, 0);
+        view.apply_listed(DirectoryTopic::Configuration, {{"config", version}}, 0);
         view.end_listing(DirectoryTopic::Configuration, end, 0, 0);
     };
-    // 7, then 3 written late, then 7 again.
+    // Version 7, then 3 written late, then 7 again.
     DirectoryView reader(dialect, pace, 0, "reader", "hall", 400, 0);
     list(reader, "7", 1);
-    reader.take_page(DirectoryTopic::Configuration, 1, {{"config", "3"}}, 0, 0, 0);
+    reader.apply_page(DirectoryTopic::Configuration, 1, {{"config", "3"}}, 0, 0, 0);
     DirectoryView fresh(dialect, pace, 0, "fresh", "hall", 400, 0);
     list(fresh, "3", 2);
     CHECK(fresh.fold().configuration()->version == 3);
-    reader.take_page(DirectoryTopic::Configuration, 2, {{"config", "7"}}, 0, 0, 0);
+    reader.apply_page(DirectoryTopic::Configuration, 2, {{"config", "7"}}, 0, 0, 0);
     fresh.take_answer(reader.answer_to(fresh.query(), 0), 0, 0);
     CHECK(fresh.fold().configuration()->version == 7);
 }
 
-/// Users saw a daemon on a thin link read a large configuration twice.
+/// Guards against a daemon on a thin link reading a large configuration twice, because it
+/// ignored the first one after a listing by another daemon.
 TEST_CASE(
-    "a configuration counts whose offset a listing of another daemon has passed meanwhile")
+    "a configuration is applied even if another daemon's listing ends after its offset")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
     const auto list = [](DirectoryView& view, const char* version, Offset end) {
         view.begin_listing(DirectoryTopic::Configuration, 0);
-        view.take_listed(DirectoryTopic::Configuration, {{"config", version}}, 0);
+        view.apply_listed(DirectoryTopic::Configuration, {{"config", version}}, 0);
         view.end_listing(DirectoryTopic::Configuration, end, 0, 0);
     };
-    // 7 lies at 0 and 11 at 1; then 3, written late, at 2.
+    // Version 7 is at offset 0 and 11 at 1; then 3, written late, at 2.
     DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
     list(view, "7", 1);
     DirectoryView other(dialect, pace, 0, "other", "hall", 400, 0);
     list(other, "3", 3);
     view.take_answer(other.answer_to(view.query(), 0), 0, 0);
     CHECK(view.fold().configuration()->version == 7);
-    // The page that was asked for before the listing came.
+    // The page was requested before the listing arrived.
     const DirectoryChange change
-        = view.take_page(DirectoryTopic::Configuration, 1, {{"config", "11"}}, 0, 0, 0);
+        = view.apply_page(DirectoryTopic::Configuration, 1, {{"config", "11"}}, 0, 0, 0);
     CHECK(view.fold().configuration()->version == 11);
     CHECK(change.news);
     CHECK(view.of(DirectoryTopic::Configuration).next == 3);
-    // Whoever asks next is told.
+    // The next daemon that queries this one gets the newest version.
     DirectoryView fresh(dialect, pace, 0, "fresh", "hall", 400, 0);
     fresh.take_answer(view.answer_to(fresh.query(), 0), 0, 0);
     REQUIRE(fresh.fold().configuration());
--- a/src/libcypressford/directory_view_timing.cpp
+++ b/src/libcypressford/directory_view_timing.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// When a DirectoryView is to be renewed, and by whom.
+/// When a DirectoryView refreshes its state, and from which source.
 
 #include <cypressford/directory_view.h>
 
@@ -13,62 +13,65 @@
 
 namespace {
 
-/// Between attempts to reach a directory that does not answer; doubles so often for those
-/// that hear from a reader.
-constexpr Micros kRetryPause = 500 * kMillisecond;
+/// Delay between requests to a directory that does not answer; doubled up to this many
+/// times for daemons that get their records from a reader.
+constexpr Micros kRetryDelay = 500 * kMillisecond;
 constexpr int kMaxRetryDoublings = 2;
-/// A daemon that knows nothing yet tries more often.
-constexpr Micros kFirstRetryPause = 200 * kMillisecond;
-/// Between looks at the records of daemons: short at first, while all may be starting.
-constexpr Micros kDaemonsPace = 2500 * kMillisecond;
-constexpr Micros kDaemonsFirstPace = 300 * kMillisecond;
-constexpr Micros kFirstLooks = 2400 * kMillisecond; ///< so long after the start
-/// Records of daemons older than this are renewed at the directory itself.
-constexpr Micros kDaemonsStale = 6 * kSecond;
-/// A daemon that knows configuration and upstreams waits so long for the rest, at most.
-constexpr Micros kWaitForRest = 500 * kMillisecond;
-/// A daemon that has not heard who there is writes its own record after so long.
-constexpr Micros kPublishLimit = 500 * kMillisecond;
-/// Daemons that start together tell of themselves within this time after the first.
-constexpr Micros kMeetingTime = 600 * kMillisecond;
-/// Or it is over once none has come for so long.
-constexpr Micros kMeetingQuiet = 150 * kMillisecond;
-/// A daemon that is told nothing lists by itself after so long, a reader first, ...
-constexpr Micros kUntoldLimit = 3 * kSecond;
-constexpr Micros kReaderUntoldLimit = 1500 * kMillisecond;
-/// The same where its reader answers but does not know the topic yet, either.
-constexpr Micros kPendingLimit = 8 * kSecond;
-/// ... one after the other, so that the directory bears the listings of any fleet.
+/// Shorter delay of a daemon that has no configuration yet.
+constexpr Micros kInitialRetryDelay = 200 * kMillisecond;
+/// Interval between reads of the records of daemons; shorter within kStartupPeriod, while
+/// all daemons may be starting.
+constexpr Micros kDaemonsReadInterval = 2500 * kMillisecond;
+constexpr Micros kDaemonsInitialReadInterval = 300 * kMillisecond;
+constexpr Micros kStartupPeriod = 2400 * kMillisecond;
+/// Records of daemons older than this are refreshed from the directory itself.
+constexpr Micros kDaemonsStaleAfter = 6 * kSecond;
+/// Longest wait for daemons and suspects once configuration and upstreams are known.
+constexpr Micros kMaxWaitForOptionalTopics = 500 * kMillisecond;
+/// A daemon that has not listed the daemons yet writes its own record after this time.
+constexpr Micros kMaxPublishDelay = 500 * kMillisecond;
+/// Time after this daemon's start within which daemons that start together announce
+/// themselves.
+constexpr Micros kDiscoveryTime = 600 * kMillisecond;
+/// Discovery ends early once no new daemon has announced itself for this time.
+constexpr Micros kDiscoveryQuietTime = 150 * kMillisecond;
+/// A daemon that gets no records from a reader lists the topic itself after this time, ...
+constexpr Micros kFeedWaitLimit = 3 * kSecond;
+/// ... a reader of a hall sooner, ...
+constexpr Micros kReaderFeedWaitLimit = 1500 * kMillisecond;
+/// ... and later if its reader answers but has not listed the topic yet, either.
+constexpr Micros kPendingFeedWaitLimit = 8 * kSecond;
+/// Spacing of the daemons' listings, so that the directory can answer those of any fleet.
 constexpr Micros kListingSpacing = 20 * kMillisecond;
-/// A daemon that waits to be told looks so often whether it was.
-constexpr Micros kLookAgain = 200 * kMillisecond;
-/// Between records of daemons that write them again, one after the other.
+/// Interval at which a daemon that waits for records checks whether they arrived.
+constexpr Micros kRecheckInterval = 200 * kMillisecond;
+/// Spacing of the daemons' records after the log was restored.
 constexpr Micros kRecordSpacing = 5 * kMillisecond;
-/// The directory bears the listings of so many daemons at once: each lists by itself, which
-/// is soonest.
-constexpr int kFewDaemons = 32;
-/// Until it knows how many others there are, a daemon takes them for so many.
-constexpr int kLeastSpreadOver = 200;
+/// Up to this size of the fleet, each daemon lists the directory itself, which is fastest:
+/// the directory can answer that many listings at the same time.
+constexpr int kSmallFleet = 32;
+/// Smallest fleet that a daemon assumes, as it may not know all daemons yet.
+constexpr int kMinAssumedDaemons = 200;
 
 } // namespace
 
-// ------------------------------------------------------------- when and whom
+// --------------------------------------------------------- timing and sources
 
 bool
 DirectoryView::can_serve(Micros now) const
 {
-    // What must be listed again holds on meanwhile.
+    // A topic that must be listed again remains valid meanwhile.
     if (!of(DirectoryTopic::Upstreams).was_listed || !m_fold.configuration())
         return false;
-    const bool has_rest
+    const bool has_optional_topics
         = of(DirectoryTopic::Daemons).was_listed && of(DirectoryTopic::Suspects).was_listed;
-    return has_rest || now - m_started_at >= kWaitForRest;
+    return has_optional_topics || now - m_started_at >= kMaxWaitForOptionalTopics;
 }
 
 bool
-DirectoryView::is_new(Micros now) const
+DirectoryView::is_starting(Micros now) const
 {
-    return now - m_started_at < kFirstLooks;
+    return now - m_started_at < kStartupPeriod;
 }
 
 bool
@@ -99,7 +102,7 @@
 }
 
 void
-DirectoryView::take_referral(const DirectoryReferral& referral, Micros now)
+DirectoryView::apply_referral(const DirectoryReferral& referral, Micros now)
 {
     m_referral = referral;
     m_peers_answer = true;
@@ -113,30 +116,30 @@
     if (!m_daemons.apply(daemon, now))
         return;
     m_new_daemons.push_back(daemon);
-    m_met_at = now;
+    m_last_new_daemon_at = now;
 }
 
 DirectoryReferral
-DirectoryView::refer(const DaemonRecord& asker) const
+DirectoryView::refer(const DaemonRecord& requester) const
 {
-    return m_own ? m_daemons.refer(asker, *m_own) : DirectoryReferral {};
+    return m_own ? m_daemons.refer(requester, *m_own) : DirectoryReferral {};
 }
 
 Micros
-DirectoryView::time_until_refer(Micros now) const
+DirectoryView::time_until_referral(Micros now) const
 {
-    // Who was there before knows the fleet by its records; at the first start they are few
-    // yet.
-    if (of(DirectoryTopic::Daemons).was_listed && m_lived_before)
+    // A daemon that ran before knows the fleet from its records; at the very first start
+    // there are few records yet.
+    if (of(DirectoryTopic::Daemons).was_listed && m_had_earlier_record)
         return 0;
-    const Micros quiet = std::max(m_started_at, m_met_at) + kMeetingQuiet;
-    return std::min(m_started_at + kMeetingTime, quiet) - now;
+    const Micros quiet = std::max(m_started_at, m_last_new_daemon_at) + kDiscoveryQuietTime;
+    return std::min(m_started_at + kDiscoveryTime, quiet) - now;
 }
 
-/// Daemons that know who reads wait to be told, and those that know nobody until they do:
-/// hundreds that start at once and list thousands of upstreams each ask more than the
-/// directory can answer.  Whoever is not told in time lists by itself, at a rate that does
-/// not grow with the fleet.
+/// Daemons that know a reader wait for its records, and daemons that know no other wait for
+/// a referral: when hundreds start at the same time and each lists thousands of upstreams,
+/// they request more than the directory can answer.  A daemon that gets no records in time
+/// lists the topic itself, at a rate that does not grow with the fleet.
 Micros
 DirectoryView::time_until_listed(DirectoryTopic topic, Micros now) const
 {
@@ -149,17 +152,18 @@
         return 0;
     const int known
         = of(DirectoryTopic::Daemons).was_listed ? m_daemons.alive() : m_referral.alive;
-    if (known > 0 && known <= kFewDaemons)
+    if (known > 0 && known <= kSmallFleet)
         return 0;
-    Micros limit = role == DirectoryRole::HallReader ? kReaderUntoldLimit : kUntoldLimit;
+    Micros limit
+        = role == DirectoryRole::HallReader ? kReaderFeedWaitLimit : kFeedWaitLimit;
     if (view.is_pending)
-        limit = kPendingLimit;
+        limit = kPendingFeedWaitLimit;
     if (is_daemons && !m_peers_answer)
         limit = 0;
-    const double others = std::max(kLeastSpreadOver, m_daemons.alive());
-    const auto turn = static_cast<Micros>(m_draw * others * kListingSpacing);
-    // What it is told meanwhile may have to be renewed sooner.
-    return std::min(view.unlisted_since + limit + turn - now, kLookAgain);
+    const double others = std::max(kMinAssumedDaemons, m_daemons.alive());
+    const auto turn = static_cast<Micros>(m_jitter_fraction * others * kListingSpacing);
+    // Records received meanwhile may have to be refreshed sooner.
+    return std::min(view.unlisted_since + limit + turn - now, kRecheckInterval);
 }
 
 Micros
@@ -170,13 +174,13 @@
 }
 
 bool
-DirectoryView::may_ask_again(Micros answer_time, Micros now) const
+DirectoryView::may_retry_reader(Micros answer_time, Micros now) const
 {
-    return !must_list() && now + answer_time < known_at() + bearable_age(source().role);
+    return !must_list() && now + answer_time < known_at() + max_age(source().role);
 }
 
 Micros
-DirectoryView::reader_due_at() const
+DirectoryView::reader_deadline() const
 {
     return known_at() + m_pace.bound;
 }
@@ -193,31 +197,33 @@
     if (from.daemon) {
         if (view.overdue)
             return 0;
-        const Micros stale = is_daemons ? kDaemonsStale : bearable_age(role);
-        // While the directory is away it is not asked without a pause.
-        return std::max(view.as_of + stale, view.asked_at + kRetryPause) - now;
+        const Micros stale = is_daemons ? kDaemonsStaleAfter : max_age(role);
+        // An unavailable directory is not polled without a pause.
+        return std::max(view.as_of + stale, view.requested_at + kRetryDelay) - now;
     }
-    // At first nearly all find out soon that another one reads: none of them waits there.
-    if (topic == DirectoryTopic::Configuration && !is_new(now))
+    // Right after the start, most daemons soon find that another one is the root reader, so
+    // none of them holds a request at the directory.
+    if (topic == DirectoryTopic::Configuration && !is_starting(now))
         return 0;
-    const Micros daemons_pace = is_new(now) ? kDaemonsFirstPace : kDaemonsPace;
-    return view.asked_at + (is_daemons ? daemons_pace : m_pace.read_pause) - now;
+    const Micros interval
+        = is_starting(now) ? kDaemonsInitialReadInterval : kDaemonsReadInterval;
+    return view.requested_at + (is_daemons ? interval : m_pace.read_interval) - now;
 }
 
 Micros
-DirectoryView::retry_pause(int failures) const
+DirectoryView::retry_delay(int failures) const
 {
     if (!m_fold.configuration())
-        return kFirstRetryPause;
+        return kInitialRetryDelay;
     if (source().role != DirectoryRole::Follower)
-        return kRetryPause;
-    return kRetryPause << std::min(failures, kMaxRetryDoublings);
+        return kRetryDelay;
+    return kRetryDelay << std::min(failures, kMaxRetryDoublings);
 }
 
 Micros
-DirectoryView::in_turn(Micros time) const
+DirectoryView::with_jitter(Micros time) const
 {
-    return time / 2 + static_cast<Micros>(m_draw * static_cast<double>(time));
+    return time / 2 + static_cast<Micros>(m_jitter_fraction * static_cast<double>(time));
 }
 
 Micros
@@ -225,21 +231,21 @@
 {
     if (of(DirectoryTopic::Daemons).was_listed)
         return 0;
-    return m_started_at + kPublishLimit - now;
+    return m_started_at + kMaxPublishDelay - now;
 }
 
 Micros
 DirectoryView::time_to_republish() const
 {
-    return in_turn(m_daemons.alive() * kRecordSpacing);
+    return with_jitter(m_daemons.alive() * kRecordSpacing);
 }
 
-/// A record that came while a question waited leaves open when; asked again without
-/// waiting, the directory confirms it at once.
+/// If a record arrived during the wait, the time of its arrival is not known; the directory
+/// confirms the state at once if the next request does not wait.
 Micros
-DirectoryView::wait_of(DirectoryTopic topic, Micros now) const
+DirectoryView::read_wait_for(DirectoryTopic topic, Micros now) const
 {
-    const bool waits = topic == DirectoryTopic::Configuration && !is_new(now)
+    const bool waits = topic == DirectoryTopic::Configuration && !is_starting(now)
         && source().role == DirectoryRole::Root && !of(topic).just_changed;
     return waits ? m_pace.read_wait : 0;
 }
--- a/src/libcypressford/evacuation_test.cpp
+++ b/src/libcypressford/evacuation_test.cpp
@@ -78,14 +78,14 @@
                      Offset end)
     {
         view.begin_listing(DirectoryTopic::Configuration, 0);
-        view.take_listed(DirectoryTopic::Configuration, records, 0);
+        view.apply_listed(DirectoryTopic::Configuration, records, 0);
         view.end_listing(DirectoryTopic::Configuration, end, 0, 0);
     }
 
     static bool read(DirectoryView& view, Offset from,
                      const std::vector<DirectoryRecord>& records)
     {
-        return view.take_page(DirectoryTopic::Configuration, from, records, 0, 0, 0).news;
+        return view.apply_page(DirectoryTopic::Configuration, from, records, 0, 0, 0).news;
     }
 
     static Halls halls(DirectoryView& view) { return view.fold().evacuations().halls(); }
--- a/src/libcypressford/restart_test.cpp
+++ b/src/libcypressford/restart_test.cpp
@@ -145,15 +145,15 @@
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
             if (topic == DirectoryTopic::Upstreams)
-                view.take_listed(topic, {{"a", "7@100"}}, 0);
+                view.apply_listed(topic, {{"a", "7@100"}}, 0);
             view.end_listing(topic, 0, 0, 0);
         }
         return view;
     };
     DirectoryView reader = fresh();
     DirectoryView follower = fresh();
-    reader.take_page(DirectoryTopic::Upstreams, 0, {{"a", "8@100"}, {"a", "1@200"}}, 0, 0,
-                     0);
+    reader.apply_page(DirectoryTopic::Upstreams, 0, {{"a", "8@100"}, {"a", "1@200"}}, 0, 0,
+                      0);
     follower.take_answer(reader.answer_to(follower.query(), 0), 0, 0);
     for (DirectoryView* view : {&reader, &follower}) {
         REQUIRE(view->fold().members().size() == 1);
@@ -167,15 +167,15 @@
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
     DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
     view.begin_listing(DirectoryTopic::Upstreams, 0);
-    view.take_listed(DirectoryTopic::Upstreams, {{"a", "1"}, {"b", "1"}}, 0);
+    view.apply_listed(DirectoryTopic::Upstreams, {{"a", "1"}, {"b", "1"}}, 0);
     view.end_listing(DirectoryTopic::Upstreams, 2, 0, 0);
-    const DirectoryChange change = view.take_page(
+    const DirectoryChange change = view.apply_page(
         DirectoryTopic::Upstreams, 2, {{"a", "?"}, {"c", "?"}, {"d", "1"}}, 0, 0, 0);
     CHECK(change.unread.size() == 2);
     CHECK(view.fold().members().size() == 3);
     // Nor does a listing in which such a record stands for it.
     view.begin_listing(DirectoryTopic::Upstreams, 0);
-    view.take_listed(DirectoryTopic::Upstreams, {{"a", "?"}, {"b", "2"}, {"d", "2"}}, 0);
+    view.apply_listed(DirectoryTopic::Upstreams, {{"a", "?"}, {"b", "2"}, {"d", "2"}}, 0);
     view.end_listing(DirectoryTopic::Upstreams, 5, 0, 0);
     view.fold().expire(kSecond);
     CHECK(view.fold().members().size() == 3);
--- a/src/libcypressford/restored_fleet_load_test.cpp
+++ b/src/libcypressford/restored_fleet_load_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The log of a whole fleet comes back from an older copy, in virtual time: what the
-/// daemons ask of it, and how long until all of them know what was written next.
+/// The log of a whole fleet is restored from an older copy, in virtual time: the daemons'
+/// load on the directory, and the time until all of them have the next record.
 
 #include <vector>
 
@@ -14,24 +14,24 @@
 namespace cypressford {
 namespace {
 
-TEST_CASE("a fleet whose log was restored learns what is written next, told by its readers")
+TEST_CASE("a fleet whose log was restored gets the next record through its readers")
 {
     constexpr Micros limit = 5 * kSecond;
     constexpr int lost = 3;
-    std::vector<RestorePlay> plays;
+    std::vector<RestoreResult> results;
     for (const int daemons : {3, 9, 30, 300, 1000, 2000}) {
         StartingFleet fleet(daemons, true, true);
         REQUIRE(fleet.run(20 * kSecond).all_serve_at >= 0);
-        plays.push_back(fleet.restore(lost, limit));
-        const RestorePlay& play = plays.back();
-        MESSAGE(daemons, " daemons know after ", play.known_after / kMillisecond, " ms, ",
-                play.calls, " calls in 5 s, of which ", play.calls_for_vital,
+        results.push_back(fleet.restore(lost, limit));
+        const RestoreResult& result = results.back();
+        MESSAGE(daemons, " daemons know after ", result.known_after / kMillisecond, " ms, ",
+                result.calls, " calls in 5 s, of which ", result.vital_calls,
                 " for configuration, upstreams and suspects");
-        REQUIRE(play.known_after >= 0);
-        CHECK(play.known_after < 2 * kSecond);
+        REQUIRE(result.known_after >= 0);
+        CHECK(result.known_after < 2 * kSecond);
     }
-    // What is read of a large fleet does not grow with it.
-    CHECK(plays[5].calls_for_vital <= 2 * plays[3].calls_for_vital);
+    // The number of reads does not grow with the size of a large fleet.
+    CHECK(results[5].vital_calls <= 2 * results[3].vital_calls);
 }
 
 } // namespace
--- a/src/libcypressford/restored_log_test.cpp
+++ b/src/libcypressford/restored_log_test.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The directory's log comes back from an older copy: what was written since is gone, and
-/// its offsets are given out again.
+/// The directory's log is restored from an older copy: records written since are lost, and
+/// their offsets are reused.
 
 #include <string>
 #include <vector>
@@ -18,7 +18,7 @@
 namespace cypressford {
 namespace {
 
-constexpr Micros kGrace = 2 * kSecond;
+constexpr Micros kGracePeriod = 2 * kSecond;
 constexpr LogGeneration kBefore = 4;
 constexpr LogGeneration kAfter = 5;
 
@@ -26,7 +26,7 @@
 view_of(const DirectoryDialect& dialect, const std::string& node)
 {
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
-    return {dialect, pace, kGrace, node, "hall", 400, 0};
+    return {dialect, pace, kGracePeriod, node, "hall", 400, 0};
 }
 
 void
@@ -34,7 +34,7 @@
      Offset end, Micros now = 0)
 {
     view.begin_listing(topic, now);
-    view.take_listed(topic, records, now);
+    view.apply_listed(topic, records, now);
     view.end_listing(topic, end, now, now);
 }
 
@@ -50,15 +50,15 @@
     }
 }
 
-/// Asks the reader as a daemon does.
+/// Makes `requester` query the reader, as a daemon does.
 void
-ask(DirectoryView& asker, DirectoryView& reader, Micros now = 0)
+query_reader(DirectoryView& requester, DirectoryView& reader, Micros now = 0)
 {
-    const FeedQuery query = asker.query();
-    reader.hear_generation(query.generation, now);
+    const FeedQuery query = requester.query();
+    reader.receive_generation(query.generation, now);
     const FeedAnswer answer = reader.answer_to(query, now);
-    asker.hear_generation(answer.generation, now);
-    asker.take_answer(answer, now, now);
+    requester.receive_generation(answer.generation, now);
+    requester.take_answer(answer, now, now);
 }
 
 std::uint64_t
@@ -67,90 +67,89 @@
     return view.fold().configuration()->version;
 }
 
-TEST_CASE(
-    "a configuration at an offset given out again reaches the reader and its followers")
+TEST_CASE("a configuration at a reused offset reaches the reader and its followers")
 {
     const TextDialect dialect;
     DirectoryView reader = view_of(dialect, "reader");
-    reader.note_generation(kBefore, 0);
+    reader.record_generation(kBefore, 0);
     list_all(reader, "22", 7);
     DirectoryView follower = view_of(dialect, "follower");
-    ask(follower, reader);
+    query_reader(follower, reader);
     REQUIRE(version_of(follower) == 22);
-    // Three records are lost, and 24 takes the place of the first of them.
-    CHECK(reader.note_generation(kAfter, 0));
+    // Three records are lost, and version 24 takes the offset of the first of them.
+    CHECK(reader.record_generation(kAfter, 0));
     list(reader, DirectoryTopic::Configuration, {{"config", "13", 3}}, 4);
-    reader.take_page(DirectoryTopic::Configuration, 4, {{"config", "24"}}, 0, 0, 0);
+    reader.apply_page(DirectoryTopic::Configuration, 4, {{"config", "24"}}, 0, 0, 0);
     CHECK(version_of(reader) == 24);
-    ask(follower, reader);
+    query_reader(follower, reader);
     CHECK(version_of(follower) == 24);
-    reader.take_page(DirectoryTopic::Configuration, 5, {{"config", "28"}}, 0, 0, 0);
-    ask(follower, reader);
+    reader.apply_page(DirectoryTopic::Configuration, 5, {{"config", "28"}}, 0, 0, 0);
+    query_reader(follower, reader);
     CHECK(version_of(follower) == 28);
 }
 
-TEST_CASE("what the copy holds takes no configuration back, also at who starts after it")
+TEST_CASE("a restored log reverts no configuration, even for a daemon that starts later")
 {
     const TextDialect dialect;
     DirectoryView reader = view_of(dialect, "reader");
-    reader.note_generation(kBefore, 0);
+    reader.record_generation(kBefore, 0);
     list_all(reader, "22", 7);
-    reader.note_generation(kAfter, 0);
+    reader.record_generation(kAfter, 0);
     list(reader, DirectoryTopic::Configuration, {{"config", "13", 3}}, 4);
     CHECK(version_of(reader) == 22);
     DirectoryView fresh = view_of(dialect, "fresh");
-    ask(fresh, reader);
+    query_reader(fresh, reader);
     CHECK(version_of(fresh) == 22);
 }
 
 TEST_CASE(
-    "who hears first that the log was restored tells its reader, whose word counts then")
+    "a follower reports a restored log to its reader, whose answers are valid from then on")
 {
     const TextDialect dialect;
     DirectoryView reader = view_of(dialect, "reader");
-    reader.note_generation(kBefore, 0);
+    reader.record_generation(kBefore, 0);
     list_all(reader, "22", 7);
     DirectoryView follower = view_of(dialect, "follower");
-    ask(follower, reader);
-    follower.note_generation(kAfter, 0);
+    query_reader(follower, reader);
+    follower.record_generation(kAfter, 0);
     const FeedAnswer outdated = reader.answer_to(follower.query(), 0);
     CHECK(outdated.generation == kBefore);
     follower.take_answer(outdated, 0, 0);
     CHECK_FALSE(follower.of(DirectoryTopic::Configuration).next);
-    ask(follower, reader);
+    query_reader(follower, reader);
     CHECK_FALSE(reader.of(DirectoryTopic::Configuration).next);
     list_all(reader, "24", 5);
-    ask(follower, reader);
+    query_reader(follower, reader);
     CHECK(version_of(follower) == 24);
     CHECK(follower.of(DirectoryTopic::Configuration).next == 5);
 }
 
-TEST_CASE("a daemon that tells no generation is believed until the log was restored")
+TEST_CASE("answers without a generation are accepted until the log was restored")
 {
     const TextDialect dialect;
     DirectoryView reader = view_of(dialect, "reader");
     list_all(reader, "22", 7);
     DirectoryView follower = view_of(dialect, "follower");
-    follower.note_generation(kBefore, 0);
-    const auto ask_earlier_version = [&] {
+    follower.record_generation(kBefore, 0);
+    const auto query_as_earlier_version = [&] {
         FeedQuery query = follower.query();
         query.generation = 0;
         follower.take_answer(reader.answer_to(query, 0), 0, 0);
     };
-    ask_earlier_version();
+    query_as_earlier_version();
     CHECK(version_of(follower) == 22);
-    follower.note_generation(kAfter, 0);
-    ask_earlier_version();
+    follower.record_generation(kAfter, 0);
+    query_as_earlier_version();
     CHECK_FALSE(follower.of(DirectoryTopic::Configuration).next);
 }
 
-TEST_CASE("an asker of an earlier version that is ahead of the restored log is told all")
+TEST_CASE("a requester of an earlier version ahead of the restored log is sent a listing")
 {
     const TextDialect dialect;
     DirectoryView reader = view_of(dialect, "reader");
-    reader.note_generation(kBefore, 0);
+    reader.record_generation(kBefore, 0);
     list_all(reader, "22", 7);
-    reader.note_generation(kAfter, 0);
+    reader.record_generation(kAfter, 0);
     list_all(reader, "24", 5);
     FeedQuery query;
     query.cursors = {{DirectoryTopic::Configuration, 7, 0, true}};
@@ -161,30 +160,31 @@
     CHECK(reader.answer_to(query, 0).topics.front().listing.empty());
 }
 
-TEST_CASE("a daemon serves on, by new configurations too, while upstreams are listed again")
+TEST_CASE(
+    "a daemon keeps serving, with new configurations, while upstreams are listed again")
 {
     const TextDialect dialect;
     DirectoryView view = view_of(dialect, "own");
-    view.note_generation(kBefore, 0);
+    view.record_generation(kBefore, 0);
     list_all(view, "22", 7);
     REQUIRE(view.can_serve(0));
-    view.note_generation(kAfter, 0);
+    view.record_generation(kAfter, 0);
     CHECK(view.can_serve(0));
     list(view, DirectoryTopic::Configuration, {{"config", "24", 4}}, 5);
     CHECK(view.can_serve(0));
     CHECK(version_of(view) == 24);
 }
 
-TEST_CASE("upstreams that the copy lacks are believed in, those that left stay gone")
+TEST_CASE("upstreams missing in the copy are kept, and those that left remain removed")
 {
     const TextDialect dialect;
     DirectoryView view = view_of(dialect, "own");
-    view.note_generation(kBefore, 0);
+    view.record_generation(kBefore, 0);
     list(view, DirectoryTopic::Upstreams,
          {{"new", "1@9", 1}, {"leaving", "5@1!", 2}, {"gone", "6@1", 3}}, 4);
-    view.take_page(DirectoryTopic::Upstreams, 4, {{"gone", ""}}, 0, 0, 0);
+    view.apply_page(DirectoryTopic::Upstreams, 4, {{"gone", ""}}, 0, 0, 0);
     view.fold().expire(0);
-    view.note_generation(kAfter, 0);
+    view.record_generation(kAfter, 0);
     list(view, DirectoryTopic::Upstreams, {{"leaving", "4@1", 0}, {"gone", "6@1", 1}}, 2);
     const auto known = [&view](Micros now) {
         view.fold().expire(now);
@@ -193,45 +193,45 @@
             names.push_back(member.identity + (member.leaving ? "!" : ""));
         return names;
     };
-    CHECK(known(kGrace - 1) == std::vector<std::string> {"leaving!", "new"});
-    view.take_page(DirectoryTopic::Upstreams, 2, {{"new", "2@9"}}, 0, 0, kSecond);
-    CHECK(known(2 * kGrace) == std::vector<std::string> {"leaving!", "new"});
+    CHECK(known(kGracePeriod - 1) == std::vector<std::string> {"leaving!", "new"});
+    view.apply_page(DirectoryTopic::Upstreams, 2, {{"new", "2@9"}}, 0, 0, kSecond);
+    CHECK(known(2 * kGracePeriod) == std::vector<std::string> {"leaving!", "new"});
 }
 
-TEST_CASE("an upstream that is not written again is gone after the grace")
+TEST_CASE("an upstream that is not written again is removed after the grace period")
 {
     const TextDialect dialect;
     DirectoryView view = view_of(dialect, "own");
-    view.note_generation(kBefore, 0);
+    view.record_generation(kBefore, 0);
     list(view, DirectoryTopic::Upstreams, {{"new", "1@9", 1}}, 2);
-    view.note_generation(kAfter, 0);
+    view.record_generation(kAfter, 0);
     list(view, DirectoryTopic::Upstreams, {}, 1);
-    view.fold().expire(kGrace);
+    view.fold().expire(kGracePeriod);
     CHECK(view.fold().members().empty());
 }
 
-TEST_CASE("an evacuation that the copy lacks holds on, and ends by a record at any offset")
+TEST_CASE("an evacuation missing in the copy is kept, and ends by a record at any offset")
 {
     const TextDialect dialect;
     DirectoryView view = view_of(dialect, "own");
-    view.note_generation(kBefore, 0);
+    view.record_generation(kBefore, 0);
     list(view, DirectoryTopic::Configuration, {}, 0);
-    view.take_page(DirectoryTopic::Configuration, 6,
-                   {{"evacuation/a", "{}"}, {"evacuation/b", "{}"}}, 0, 0, 0);
-    view.note_generation(kAfter, 0);
+    view.apply_page(DirectoryTopic::Configuration, 6,
+                    {{"evacuation/a", "{}"}, {"evacuation/b", "{}"}}, 0, 0, 0);
+    view.record_generation(kAfter, 0);
     list(view, DirectoryTopic::Configuration, {}, 2);
     const auto halls = [&view](Micros now) {
         view.fold().expire(now);
         return view.fold().evacuations().halls();
     };
-    CHECK(halls(kGrace - 1) == std::vector<std::string> {"a", "b"});
-    view.take_page(DirectoryTopic::Configuration, 2, {{"evacuation/a", "{}"}}, 0, 0, 0);
-    CHECK(halls(2 * kGrace) == std::vector<std::string> {"a"});
-    view.take_page(DirectoryTopic::Configuration, 3, {{"evacuation/a", ""}}, 0, 0, 0);
-    CHECK(halls(2 * kGrace).empty());
+    CHECK(halls(kGracePeriod - 1) == std::vector<std::string> {"a", "b"});
+    view.apply_page(DirectoryTopic::Configuration, 2, {{"evacuation/a", "{}"}}, 0, 0, 0);
+    CHECK(halls(2 * kGracePeriod) == std::vector<std::string> {"a"});
+    view.apply_page(DirectoryTopic::Configuration, 3, {{"evacuation/a", ""}}, 0, 0, 0);
+    CHECK(halls(2 * kGracePeriod).empty());
 }
 
-TEST_CASE("a daemon's record of before its last start changes nothing")
+TEST_CASE("a daemon's record from before its last start changes nothing")
 {
     const TextDialect dialect;
     DirectoryView view = view_of(dialect, "own");
@@ -240,13 +240,13 @@
     const DirectoryRecord before = record();
     daemon.incarnation += 7;
     daemon.peers_address = "10.9.9.9:1";
-    view.note_generation(kBefore, 0);
+    view.record_generation(kBefore, 0);
     list(view, DirectoryTopic::Daemons, {record()}, 1);
-    view.note_generation(kAfter, 0);
+    view.record_generation(kAfter, 0);
     list(view, DirectoryTopic::Daemons, {before}, 1);
     CHECK(view.daemons().knows("10.9.9.9:1"));
-    // Written now, it is of a start that came after.
-    view.take_page(DirectoryTopic::Daemons, 1, {before}, 0, 0, 0);
+    // Written after the restoration, the record is of a later start.
+    view.apply_page(DirectoryTopic::Daemons, 1, {before}, 0, 0, 0);
     CHECK_FALSE(view.daemons().knows("10.9.9.9:1"));
 }
 
@@ -254,12 +254,12 @@
 public:
     RestoredSuspects()
     {
-        m_view.note_generation(kBefore, 0);
+        m_view.record_generation(kBefore, 0);
         list(m_view, DirectoryTopic::Suspects, {record_of("a.1", "e1")}, 1);
         m_view.suspects().apply_unwritten("own.1", ends("e2"));
         m_view.suspects().note_written("own.1");
         m_view.suspects().apply_unwritten("own.2", ends("e3"));
-        m_view.take_page(DirectoryTopic::Suspects, 1, {record_of("b.1", "e4")}, 0, 0, 0);
+        m_view.apply_page(DirectoryTopic::Suspects, 1, {record_of("b.1", "e4")}, 0, 0, 0);
     }
 
     DirectoryView& view() { return m_view; }
@@ -289,33 +289,32 @@
     DirectoryView m_view = view_of(m_dialect, "own");
 };
 
-TEST_CASE(
-    "a quarantine holds on although the log lost its records, until it has them again")
+TEST_CASE("a quarantine remains in force while the log lacks its records")
 {
     RestoredSuspects suspects;
     REQUIRE(suspects.is_quarantined());
     CHECK(suspects.lost("").empty());
-    suspects.view().note_generation(kAfter, 0);
+    suspects.view().record_generation(kAfter, 0);
     CHECK(suspects.is_quarantined());
-    // Before the log is listed nobody knows what it lost.
+    // Before the log is listed, its lost records are not known.
     CHECK(suspects.lost("").empty());
     list(suspects.view(), DirectoryTopic::Suspects, {suspects.record_of("a.1", "e1")}, 1);
     CHECK(suspects.is_quarantined());
     CHECK(suspects.lost("own.") == std::vector<std::string> {"own.1"});
     CHECK(suspects.lost("") == std::vector<std::string> {"b.1", "own.1"});
     suspects.view().suspects().note_written("own.1");
-    suspects.view().take_page(DirectoryTopic::Suspects, 1,
-                              {suspects.record_of("b.1", "e4")}, 0, 0, 0);
+    suspects.view().apply_page(DirectoryTopic::Suspects, 1,
+                               {suspects.record_of("b.1", "e4")}, 0, 0, 0);
     CHECK(suspects.lost("").empty());
     CHECK_FALSE(suspects.view().suspects().has_lost());
     CHECK(suspects.is_quarantined());
 }
 
-TEST_CASE("a record that was written again and lost once more is named again")
+TEST_CASE("a record that was written again and lost once more is reported as lost again")
 {
     RestoredSuspects suspects;
     for (const LogGeneration generation : {kAfter, kAfter + 1}) {
-        suspects.view().note_generation(generation, 0);
+        suspects.view().record_generation(generation, 0);
         list(suspects.view(), DirectoryTopic::Suspects, {}, 0);
         CHECK(suspects.lost("own.") == std::vector<std::string> {"own.1"});
         suspects.view().suspects().note_written("own.1");
--- a/src/libcypressford/suspects_test.cpp
+++ b/src/libcypressford/suspects_test.cpp
@@ -247,7 +247,7 @@
                            encode(end_of("e" + std::to_string(i), {digest(1)})), i});
     records.push_back({"bad", "\xff\xff no record", 3});
     const DirectoryChange change
-        = reader.take_page(DirectoryTopic::Suspects, 0, records, 0, 0, 0);
+        = reader.apply_page(DirectoryTopic::Suspects, 0, records, 0, 0, 0);
     CHECK(change.news);
     CHECK(change.unread.size() == 1);
     CHECK(reader.suspects().view()->is_quarantined(digest(1)));
@@ -256,7 +256,7 @@
     CHECK(follower.suspects().view()->is_quarantined(digest(1)));
     DirectoryView late = fresh();
     late.begin_listing(DirectoryTopic::Suspects, 0);
-    late.take_listed(DirectoryTopic::Suspects, records, 0);
+    late.apply_listed(DirectoryTopic::Suspects, records, 0);
     late.end_listing(DirectoryTopic::Suspects, 4, 0, 0);
     CHECK(late.suspects().view()->is_quarantined(digest(1)));
 }
--- a/src/libcypressford/test_starting_fleet.h
+++ b/src/libcypressford/test_starting_fleet.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A fleet of daemons, their readers and the log that they read, in virtual time.
+/// A fleet of daemons, their readers and the log they read, in virtual time.
 
 #pragma once
 
@@ -24,17 +24,17 @@
 namespace cypressford {
 
 constexpr int kFleetHalls = 5;
-constexpr int kPeers = 3; ///< that the settings of all name
+constexpr int kPeers = 3; ///< daemons that refer others, named in the settings of all
 constexpr int kUpstreamsListed = 20;
 constexpr std::size_t kPage = 500;
-/// The directory works on one call of a topic after the other.
+/// The directory processes the calls of a topic one after the other.
 constexpr Micros kCallTime = 4 * kMillisecond;
 constexpr Micros kOneWay = 1 * kMillisecond;
 constexpr Micros kTick = 20 * kMillisecond;
-/// Within it all daemons know what was written, and have ended what they do at a start.
+/// Time after which all daemons know the newest records, and have finished their start.
 constexpr Micros kSettleTime = 6 * kSecond;
 
-/// Events in the order of their times.
+/// Events, executed in the order of their times.
 class Timeline {
 public:
     void at(Micros time, std::function<void()> action)
@@ -68,14 +68,14 @@
     std::size_t m_count = 0;
 };
 
-/// A log with a queue for each topic.
+/// A log with a queue of calls for each topic.
 struct Log {
     struct Topic {
         std::vector<DirectoryRecord> records;
         Micros busy_until = 0;
     };
 
-    Micros take_turn(DirectoryTopic topic, Micros now)
+    Micros enqueue_call(DirectoryTopic topic, Micros now)
     {
         Topic& of = topics.at(static_cast<std::size_t>(topic));
         of.busy_until = std::max(of.busy_until, now) + kCallTime;
@@ -87,19 +87,19 @@
     int calls = 0;
 };
 
-struct Play {
+struct StartResult {
     int calls = 0;
-    int calls_for_vital = 0; ///< configuration and upstreams
+    int vital_calls = 0; ///< those for configuration, upstreams and suspects
     Micros last_start = 0;
-    Micros mean_wait = 0; ///< of a daemon, from its start until it serves
+    Micros mean_wait = 0; ///< mean time from the start of a daemon until it serves
     Micros all_serve_at = -1;
-    int most_followers = 0; ///< of one daemon
+    int most_followers = 0; ///< highest number of open queries at one daemon
 };
 
-struct RestorePlay {
-    Micros known_after = -1; ///< at all daemons; -1: not within the limit
+struct RestoreResult {
+    Micros known_after = -1; ///< time until all daemons know; -1: not within the limit
     int calls = 0; ///< within the limit
-    int calls_for_vital = 0;
+    int vital_calls = 0;
 };
 
 class StartingFleet {
@@ -121,30 +121,31 @@
             record.capacity = i % 20 == 7 ? 1 : 0.12;
             if (has_records)
                 m_log.topics[2].records.push_back({record.node, encode(record)});
-            record.incarnation = 2; // that of the life which begins
+            record.incarnation = 2; // of the start that follows
             m_records.push_back(std::move(record));
         }
-        m_asked.resize(m_records.size());
+        m_open_requests.resize(m_records.size());
     }
 
-    Play run(Micros limit)
+    StartResult run(Micros limit)
     {
         for (std::size_t i = 0; i < m_records.size(); ++i) {
             const auto start = static_cast<Micros>(i * 37 % 300) * kMillisecond;
-            m_play.last_start = std::max(m_play.last_start, start);
+            m_result.last_start = std::max(m_result.last_start, start);
             m_time.at(start, [this, i] { begin(i); });
         }
-        while (m_play.all_serve_at < 0 && m_time.now < limit)
+        while (m_result.all_serve_at < 0 && m_time.now < limit)
             m_time.run_until(m_time.now + kTick);
-        m_play.calls = m_log.calls;
-        m_play.mean_wait = m_waited / static_cast<Micros>(m_records.size());
-        m_play.most_followers = *std::max_element(m_asked.begin(), m_asked.end());
-        return m_play;
+        m_result.calls = m_log.calls;
+        m_result.mean_wait = m_total_wait / static_cast<Micros>(m_records.size());
+        m_result.most_followers
+            = *std::max_element(m_open_requests.begin(), m_open_requests.end());
+        return m_result;
     }
 
-    /// The log comes back without the last `lost` of these configurations, and gives the
-    /// place of the first of them to another.
-    RestorePlay restore(int lost, Micros limit)
+    /// Restores the log without the last `lost` of the configurations written here, and
+    /// reuses the offset of the first of them for another one.
+    RestoreResult restore(int lost, Micros limit)
     {
         for (int i = 0; i < lost; ++i)
             configure();
@@ -152,26 +153,26 @@
         auto& records = m_log.topics[0].records;
         records.resize(records.size() - static_cast<std::size_t>(lost));
         ++m_generation;
-        const Play before = m_play;
+        const StartResult before = m_result;
         const int calls_before = m_log.calls;
         configure();
         const Micros restored_at = m_time.now;
-        RestorePlay play;
+        RestoreResult result;
         while (m_time.now < restored_at + limit && !all_know(m_version))
             m_time.run_until(m_time.now + kTick);
         if (all_know(m_version))
-            play.known_after = m_time.now - restored_at;
+            result.known_after = m_time.now - restored_at;
         m_time.run_until(restored_at + limit);
-        play.calls = m_log.calls - calls_before;
-        play.calls_for_vital = m_play.calls_for_vital - before.calls_for_vital;
-        return play;
+        result.calls = m_log.calls - calls_before;
+        result.vital_calls = m_result.vital_calls - before.vital_calls;
+        return result;
     }
 
 private:
     struct Daemon {
         std::unique_ptr<DirectoryView> view;
         std::array<bool, std::size(DirectoryView::kTopics)> reading {};
-        bool asking = false;
+        bool querying = false;
         bool serves = false;
         bool published = false;
         Micros started_at = 0;
@@ -205,14 +206,14 @@
 
     void publish(std::size_t i)
     {
-        const Micros done = m_log.take_turn(DirectoryTopic::Daemons, m_time.now);
+        const Micros done = m_log.enqueue_call(DirectoryTopic::Daemons, m_time.now);
         m_time.at(done, [this, i] {
             const DaemonRecord& own = m_records[i];
             m_log.topics[2].records.push_back({own.node, encode(own)});
         });
     }
 
-    /// What a daemon does now; called again and again.
+    /// One step of a daemon, repeated every kTick.
     void step(std::size_t i)
     {
         Daemon& daemon = m_daemons[i];
@@ -224,23 +225,23 @@
             if (!daemon.reading.at(static_cast<std::size_t>(topic))
                 && daemon.view->time_until_read(topic, m_time.now) <= 0)
                 read(i, topic);
-        if (!daemon.asking && m_has_peers && daemon.view->wants_referral())
-            join(i);
+        if (!daemon.querying && m_has_peers && daemon.view->wants_referral())
+            request_referral(i);
         const DirectorySource from = daemon.view->source();
-        if (!daemon.asking && from.daemon)
-            ask(i, index_of(from.daemon->node));
-        note_serving(daemon);
+        if (!daemon.querying && from.daemon)
+            query_reader(i, index_of(from.daemon->node));
+        record_serving(daemon);
         m_time.at(m_time.now + kTick, [this, i] { step(i); });
     }
 
-    void note_serving(Daemon& daemon)
+    void record_serving(Daemon& daemon)
     {
         if (daemon.serves || !daemon.view->can_serve(m_time.now))
             return;
         daemon.serves = true;
-        m_waited += m_time.now - daemon.started_at;
+        m_total_wait += m_time.now - daemon.started_at;
         if (++m_serving == m_records.size())
-            m_play.all_serve_at = m_time.now;
+            m_result.all_serve_at = m_time.now;
     }
 
     static std::size_t index_of(const std::string& node)
@@ -253,87 +254,88 @@
         Daemon& daemon = m_daemons[i];
         bool& reading = daemon.reading.at(static_cast<std::size_t>(topic));
         reading = true;
-        const Micros asked_at = m_time.now;
+        const Micros requested_at = m_time.now;
         const auto& records = m_log.topics.at(static_cast<std::size_t>(topic)).records;
         const bool lists = !daemon.view->of(topic).next;
         const std::size_t pages = lists ? records.size() / kPage + 1 : 1;
         Micros done = 0;
         for (std::size_t page = 0; page < pages; ++page)
-            done = m_log.take_turn(topic, m_time.now);
+            done = m_log.enqueue_call(topic, m_time.now);
         if (topic != DirectoryTopic::Daemons)
-            m_play.calls_for_vital += static_cast<int>(pages);
+            m_result.vital_calls += static_cast<int>(pages);
         const int restores = daemon.view->restores();
         m_time.at(
-            done + kOneWay, [this, &daemon, &reading, topic, asked_at, lists, restores] {
+            done + kOneWay,
+            [this, &daemon, &reading, topic, requested_at, lists, restores] {
                 reading = false;
-                daemon.view->note_generation(m_generation, m_time.now);
+                daemon.view->record_generation(m_generation, m_time.now);
                 if (daemon.view->restores() != restores)
                     return;
                 const auto& all = m_log.topics.at(static_cast<std::size_t>(topic)).records;
                 const auto end = static_cast<Offset>(all.size());
                 if (lists) {
-                    daemon.view->begin_listing(topic, asked_at);
-                    daemon.view->take_listed(topic, all, m_time.now);
-                    daemon.view->end_listing(topic, end, asked_at, m_time.now);
+                    daemon.view->begin_listing(topic, requested_at);
+                    daemon.view->apply_listed(topic, all, m_time.now);
+                    daemon.view->end_listing(topic, end, requested_at, m_time.now);
                 } else if (const Offset from = *daemon.view->of(topic).next; from <= end) {
-                    daemon.view->take_page(topic, from, {all.begin() + from, all.end()},
-                                           asked_at, 0, m_time.now);
+                    daemon.view->apply_page(topic, from, {all.begin() + from, all.end()},
+                                            requested_at, 0, m_time.now);
                 }
-                daemon.view->of(topic).asked_at = asked_at;
+                daemon.view->of(topic).requested_at = requested_at;
             });
     }
 
-    void join(std::size_t i)
+    void request_referral(std::size_t i)
     {
         Daemon& daemon = m_daemons[i];
         const std::size_t peer = i % kFleetHalls % kPeers;
         if (peer >= m_daemons.size() || !m_daemons[peer].view)
             return;
-        daemon.asking = true;
+        daemon.querying = true;
         m_daemons[peer].view->meet(m_records[i], m_time.now);
         await_referral(i, peer);
     }
 
     void await_referral(std::size_t i, std::size_t peer)
     {
-        if (m_daemons[peer].view->time_until_refer(m_time.now) > 0) {
+        if (m_daemons[peer].view->time_until_referral(m_time.now) > 0) {
             m_time.at(m_time.now + kTick, [this, i, peer] { await_referral(i, peer); });
             return;
         }
         const DirectoryReferral referral = m_daemons[peer].view->refer(m_records[i]);
-        m_daemons[i].view->take_referral(referral, m_time.now);
-        m_daemons[i].asking = false;
+        m_daemons[i].view->apply_referral(referral, m_time.now);
+        m_daemons[i].querying = false;
     }
 
-    void ask(std::size_t i, std::size_t reader)
+    void query_reader(std::size_t i, std::size_t reader)
     {
         if (!m_daemons[reader].view)
             return;
-        m_daemons[i].asking = true;
-        ++m_asked[reader];
+        m_daemons[i].querying = true;
+        ++m_open_requests[reader];
         await_answer(i, reader, m_daemons[i].view->query(), m_time.now);
     }
 
     void await_answer(std::size_t i, std::size_t reader, const FeedQuery& query,
-                      Micros asked_at)
+                      Micros requested_at)
     {
         DirectoryView& view = *m_daemons[reader].view;
-        view.hear_generation(query.generation, m_time.now);
-        if (!view.must_answer(query) && m_time.now < asked_at + query.wait) {
-            m_time.at(m_time.now + kTick, [this, i, reader, query, asked_at] {
-                await_answer(i, reader, query, asked_at);
+        view.receive_generation(query.generation, m_time.now);
+        if (!view.must_answer(query) && m_time.now < requested_at + query.wait) {
+            m_time.at(m_time.now + kTick, [this, i, reader, query, requested_at] {
+                await_answer(i, reader, query, requested_at);
             });
             return;
         }
         FeedAnswer answer = view.answer_to(query, m_time.now);
-        answer.held = m_time.now - asked_at;
+        answer.held = m_time.now - requested_at;
         m_time.at(m_time.now + kOneWay,
-                  [this, i, reader, answer = std::move(answer), asked_at] {
-                      DirectoryView& asker = *m_daemons[i].view;
-                      asker.hear_generation(answer.generation, m_time.now);
-                      asker.take_answer(answer, asked_at, m_time.now);
-                      m_daemons[i].asking = false;
-                      --m_asked[reader];
+                  [this, i, reader, answer = std::move(answer), requested_at] {
+                      DirectoryView& requester = *m_daemons[i].view;
+                      requester.receive_generation(answer.generation, m_time.now);
+                      requester.take_answer(answer, requested_at, m_time.now);
+                      m_daemons[i].querying = false;
+                      --m_open_requests[reader];
                   });
     }
 
@@ -343,10 +345,10 @@
     const bool m_has_peers;
     std::vector<DaemonRecord> m_records;
     std::vector<Daemon> m_daemons;
-    std::vector<int> m_asked;
+    std::vector<int> m_open_requests;
     std::size_t m_serving = 0;
-    Micros m_waited = 0; ///< by all that serve
-    Play m_play;
+    Micros m_total_wait = 0; ///< of all daemons that serve
+    StartResult m_result;
     std::uint64_t m_version = 1;
     LogGeneration m_generation = 1;
 };
--- a/src/libcypressford/topic_listing.cpp
+++ b/src/libcypressford/topic_listing.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// Bounds what one part takes where it is unpacked: about 1 MB.
-constexpr std::size_t kRecordsOfPart = 4096;
-/// More than these, sent uncompressed behind a listing, outweigh a new one.
-constexpr std::size_t kMostFollowing = 200;
+/// Limits the memory for unpacking one part to about 1 MB.
+constexpr std::size_t kRecordsPerPart = 4096;
+/// More records than these, sent uncompressed after a listing, outweigh a new listing.
+constexpr std::size_t kMaxFollowingRecords = 200;
 
 } // namespace
 
@@ -18,15 +18,15 @@
 TopicListing::begin_listing()
 {
     for (const auto& [key, entry] : m_newest)
-        m_unnamed.insert(key);
+        m_unlisted.insert(key);
 }
 
 void
 TopicListing::end_listing()
 {
-    for (const std::string& key : m_unnamed)
+    for (const std::string& key : m_unlisted)
         erase(key);
-    m_unnamed.clear();
+    m_unlisted.clear();
     m_packed.parts.clear();
 }
 
@@ -49,7 +49,7 @@
         m_by_offset.erase({entry->second.offset, record.key});
     entry->second = {record.value, offset};
     m_by_offset.emplace(offset, record.key);
-    // What follows the packed listing does not hold it.
+    // Records sent after the packed listing start at its end, so it must include this one.
     if (offset < m_packed.end)
         m_packed.parts.clear();
 }
@@ -85,7 +85,7 @@
 {
     const auto following = history.since(m_packed.end);
     const bool is_usable
-        = !m_packed.parts.empty() && following && following->size() <= kMostFollowing;
+        = !m_packed.parts.empty() && following && following->size() <= kMaxFollowingRecords;
     if (!is_usable)
         pack(history.next());
     return m_packed;
@@ -102,7 +102,7 @@
     };
     for (const auto& [key, entry] : m_newest) {
         part.push_back({entry.offset, {key, entry.value}});
-        if (part.size() == kRecordsOfPart)
+        if (part.size() == kRecordsPerPart)
             close_part();
     }
     if (!part.empty() || m_packed.parts.empty())
--- a/src/libcypressford/unreachable_peers.cpp
+++ b/src/libcypressford/unreachable_peers.cpp
@@ -6,7 +6,7 @@
 namespace cypressford {
 
 bool
-UnreachablePeers::note_check(const std::string& address, bool answers)
+UnreachablePeers::record_check(const std::string& address, bool answers)
 {
     if (answers)
         m_checked.erase(address);
--- a/src/libserve/directory/directory_feed_server.cpp
+++ b/src/libserve/directory/directory_feed_server.cpp
@@ -65,8 +65,8 @@
     for (const std::string& address : query->lost)
         if (m_on_lost)
             m_on_lost(address);
-    const Micros asked_at = monotonic_us();
-    const Micros until = asked_at + std::min(query->wait, kMaxHold);
+    const Micros requested_at = monotonic_us();
+    const Micros until = requested_at + std::min(query->wait, kMaxHold);
     BootTimer timer(m_io);
     bool gone = false;
     exchange.watch([&gone, &timer] {
@@ -76,7 +76,7 @@
     const auto time_to_wait = [&]() -> Micros {
         const Micros now = monotonic_us();
         if (query->joiner)
-            return std::min(until - now, m_view.time_until_refer(now));
+            return std::min(until - now, m_view.time_until_referral(now));
         return m_view.must_answer(*query) ? 0 : until - now;
     };
     for (Micros rest = time_to_wait(); !gone && rest > 0; rest = time_to_wait()) {
@@ -86,7 +86,7 @@
         m_waiting.erase(&timer);
     }
     FeedAnswer answer = m_view.answer_to(*query, monotonic_us());
-    answer.held = monotonic_us() - asked_at;
+    answer.held = monotonic_us() - requested_at;
     if (query->joiner)
         answer.referral = m_view.refer(*query->joiner);
     HttpResponse response;
--- a/src/libserve/directory/directory_feed_server.h
+++ b/src/libserve/directory/directory_feed_server.h
@@ -31,7 +31,7 @@
     /// Something that can't wait is new.
     void note_news();
 
-    /// Called with addresses of daemons that did not answer an asker.
+    /// Called with addresses of daemons that did not answer a requester.
     void on_lost(std::function<void(const std::string&)> action)
     {
         m_on_lost = std::move(action);
--- a/src/libserve/directory/directory_store.cpp
+++ b/src/libserve/directory/directory_store.cpp
@@ -73,28 +73,28 @@
     ++m_calls[std::string(kind) + "_" + std::string(to_string(topic))];
     m_kernel.directory_calls.fetch_add(1, std::memory_order_relaxed);
     CallOptions options;
-    const Micros asked_at = monotonic_us();
-    options.deadline_us = asked_at + wait_limit;
+    const Micros requested_at = monotonic_us();
+    options.deadline_us = requested_at + wait_limit;
     options.body = kLargeBody;
     options.send_clock = false;
     const CallResult result = co_await m_client.call(m_kernel.reloaded.load()->platform.log,
                                                      std::move(request), options);
-    log_call(topic, result, monotonic_us() - asked_at);
+    log_call(topic, result, monotonic_us() - requested_at);
     HttpResponse response = result.response;
-    const bool is_current = note_generation(topic, response, asked_at);
+    const bool is_current = record_generation(topic, response, requested_at);
     if (result.status != CallStatus::Answered || !is_current)
         response.status = 0;
     co_return response;
 }
 
 bool
-DirectoryStore::note_generation(DirectoryTopic topic, const HttpResponse& response,
-                                Micros asked_at)
+DirectoryStore::record_generation(DirectoryTopic topic, const HttpResponse& response,
+                                  Micros requested_at)
 {
     const LogGeneration told = m_dialect->generation_of(response);
     if (told == 0 || told == m_generation)
         return true;
-    const bool is_late = m_generation != 0 && asked_at < m_generation_at;
+    const bool is_late = m_generation != 0 && requested_at < m_generation_at;
     if (is_late && told < m_generation)
         return false;
     LogEvent("directory_generation", LogLevel::Warn)
--- a/src/libserve/directory/directory_store.h
+++ b/src/libserve/directory/directory_store.h
@@ -52,8 +52,8 @@
 
     /// Logs and passes on another generation than the last.  False if the answer is of one
     /// that was over before it came.
-    bool note_generation(DirectoryTopic topic, const HttpResponse& response,
-                         Micros asked_at);
+    bool record_generation(DirectoryTopic topic, const HttpResponse& response,
+                           Micros requested_at);
 
     Kernel& m_kernel;
     const std::unique_ptr<DirectoryDialect> m_dialect;
--- a/src/libserve/directory/directory_watch.cpp
+++ b/src/libserve/directory/directory_watch.cpp
@@ -45,8 +45,8 @@
     , m_view(m_store.dialect(),
              DirectoryPace(kernel.settings.directory_bound,
                            kernel.settings.directory_heartbeat),
-             kernel.settings.vanish_grace, kernel.settings.node, kernel.settings.hall,
-             kernel.settings.directory_writes, monotonic_us())
+             kernel.settings.removal_grace_period, kernel.settings.node,
+             kernel.settings.hall, kernel.settings.directory_writes, monotonic_us())
     , m_until_publish(io)
     , m_without_reader(io)
     , m_feed(io, kernel.settings.limits, m_view)
@@ -62,10 +62,10 @@
 {
     const std::string& address = m_kernel.settings.feed_address;
     m_store.on_generation([this](LogGeneration told) {
-        if (m_view.note_generation(told, monotonic_us()))
+        if (m_view.record_generation(told, monotonic_us()))
             recover_from_restore("directory");
     });
-    m_feed.on_generation([this](LogGeneration told) { hear_generation(told); });
+    m_feed.on_generation([this](LogGeneration told) { receive_generation(told); });
     m_feed.on_lost([this](const std::string& lost) {
         asio::co_spawn(m_io, check_peer(lost), asio::detached);
     });
@@ -146,10 +146,10 @@
     while (!m_kernel.stopping.load()) {
         const bool written = co_await publish_once();
         failures = written ? 0 : failures + 1;
-        const Micros pace
-            = publish_pace(m_view.daemons().alive(), m_kernel.settings.directory_writes);
+        const Micros pace = publish_interval(m_view.daemons().alive(),
+                                             m_kernel.settings.directory_writes);
         const Micros retry = kPublishRetry << std::min(failures - 1, kMaxPublishDoublings);
-        const Micros rest = written ? pace : std::min(pace, m_view.in_turn(retry));
+        const Micros rest = written ? pace : std::min(pace, m_view.with_jitter(retry));
         m_until_publish.expires_after(std::chrono::microseconds(rest));
         const auto [cancelled] = co_await m_until_publish.async_wait(kToTuple);
         if (cancelled)
@@ -204,11 +204,12 @@
         note_contact(done.has_value());
         bring_into_force(); // also what was believed for a while only may be over
         if (!done) {
-            co_await pause(m_view.retry_pause(++view.failures));
+            co_await pause(m_view.retry_delay(++view.failures));
             continue;
         }
         view.failures = 0;
-        if (missed && !is_reader_at_work() && m_view.note_missed(topic, monotonic_us()))
+        if (missed && !is_reader_at_work()
+            && m_view.record_reader_miss(topic, monotonic_us()))
             suspect_reader(*should_tell, "stale");
     }
 }
@@ -216,9 +217,9 @@
 asio::awaitable<Result<void>>
 DirectoryWatch::list(DirectoryTopic topic)
 {
-    const Micros asked_at = monotonic_us();
+    const Micros requested_at = monotonic_us();
     const int restores = m_view.restores();
-    m_view.begin_listing(topic, asked_at);
+    m_view.begin_listing(topic, requested_at);
     std::string after;
     std::optional<Offset> end;
     for (;;) {
@@ -227,7 +228,7 @@
             co_return tl::unexpected(page.error());
         if (restores != m_view.restores())
             co_return Result<void> {};
-        note(m_view.take_listed(topic, page->records, monotonic_us()));
+        note(m_view.apply_listed(topic, page->records, monotonic_us()));
         // What changed while later pages were read follows behind the first end.
         end = end.value_or(page->end);
         if (!page->more || page->records.empty())
@@ -237,7 +238,7 @@
             co_return fail(ErrorKind::Internal, "a listing does not go on");
         after = page->records.back().key;
     }
-    m_view.end_listing(topic, *end, asked_at, monotonic_us());
+    m_view.end_listing(topic, *end, requested_at, monotonic_us());
     note({.news = true, .unread = {}});
     co_return Result<void> {};
 }
@@ -251,7 +252,7 @@
         auto page = co_await m_store.newest(topic, after);
         if (page || tries == kPageTries)
             co_return page;
-        co_await pause(m_view.in_turn(m_view.retry_pause(tries)));
+        co_await pause(m_view.with_jitter(m_view.retry_delay(tries)));
     }
 }
 
@@ -259,9 +260,9 @@
 DirectoryWatch::read(DirectoryTopic topic)
 {
     TopicView& view = m_view.of(topic);
-    const Micros asked_at = monotonic_us();
-    const Micros wait = m_view.wait_of(topic, asked_at);
-    view.asked_at = asked_at;
+    const Micros requested_at = monotonic_us();
+    const Micros wait = m_view.read_wait_for(topic, requested_at);
+    view.requested_at = requested_at;
     const Offset from = *view.next;
     const int restores = m_view.restores();
     const auto page = co_await m_store.read(topic, from, wait);
@@ -271,28 +272,28 @@
     if (restores != m_view.restores())
         co_return Result<void> {};
     if (page->history_lost)
-        m_view.note_history_lost(topic, monotonic_us());
+        m_view.on_history_lost(topic, monotonic_us());
     else
-        note_page(topic, from, *page, asked_at, wait);
+        note_page(topic, from, *page, requested_at, wait);
     co_return Result<void> {};
 }
 
 void
 DirectoryWatch::note_page(DirectoryTopic topic, Offset from, const DirectoryPage& page,
-                          Micros asked_at, Micros waited)
+                          Micros requested_at, Micros waited)
 {
     const Micros now = monotonic_us();
     const DirectoryChange change
-        = m_view.take_page(topic, from, page.records, asked_at, waited, now);
+        = m_view.apply_page(topic, from, page.records, requested_at, waited, now);
     m_taken_us = monotonic_us() - now;
     note(change);
 }
 
 void
-DirectoryWatch::note_answer(const FeedAnswer& answer, Micros asked_at)
+DirectoryWatch::record_response(const FeedAnswer& answer, Micros requested_at)
 {
     const Micros now = monotonic_us();
-    const DirectoryChange change = m_view.take_answer(answer, asked_at, now);
+    const DirectoryChange change = m_view.take_answer(answer, requested_at, now);
     m_taken_us = monotonic_us() - now;
     note(change);
 }
@@ -300,7 +301,7 @@
 /// A record that can't be read is written again each heartbeat, maybe: it is logged once
 /// for each reason, and counted each time.
 void
-DirectoryWatch::note_unread(const UnreadRecord& record)
+DirectoryWatch::note_unread(const InvalidRecord& record)
 {
     m_kernel.unread_records.fetch_add(1, std::memory_order_relaxed);
     if (m_unread_logged.size() >= kMaxUnreadLogged)
@@ -317,7 +318,7 @@
 void
 DirectoryWatch::note(const DirectoryChange& change)
 {
-    for (const UnreadRecord& record : change.unread)
+    for (const InvalidRecord& record : change.unread)
         note_unread(record);
     if (change.news)
         m_feed.note_news();
@@ -346,9 +347,9 @@
 // ----------------------------------------------------- a log that was restored
 
 void
-DirectoryWatch::hear_generation(LogGeneration told)
+DirectoryWatch::receive_generation(LogGeneration told)
 {
-    if (m_view.hear_generation(told, monotonic_us()))
+    if (m_view.receive_generation(told, monotonic_us()))
         recover_from_restore("daemon");
 }
 
--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -122,7 +122,7 @@
     boost::asio::awaitable<bool> gives_sign(std::string peers_address);
     void note_unreachable(const UnreachableList& list);
     /// What another daemon says of the log's generation.
-    void hear_generation(LogGeneration told);
+    void receive_generation(LogGeneration told);
     /// The log came back from an older copy: lists, and writes again what it may have lost.
     void recover_from_restore(std::string_view told_by);
     boost::asio::awaitable<void> trust_later(std::string peers_address);
@@ -137,10 +137,10 @@
     void note_source(const DirectorySource& from);
     void suspect_reader(const DaemonRecord& reader, std::string_view why);
     void note_page(DirectoryTopic topic, Offset from, const DirectoryPage& page,
-                   Micros asked_at, Micros waited);
-    void note_answer(const FeedAnswer& answer, Micros asked_at);
+                   Micros requested_at, Micros waited);
+    void record_response(const FeedAnswer& answer, Micros requested_at);
     void note(const DirectoryChange& change);
-    void note_unread(const UnreadRecord& record);
+    void note_unread(const InvalidRecord& record);
     void note_contact(bool reached);
     void bring_into_force();
     void bring_suspects_into_force();
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -62,7 +62,7 @@
 DirectoryWatch::ask_feed(std::string feed_address, std::string who, FeedQuery query,
                          CallOptions limits)
 {
-    const Micros asked_at = monotonic_us();
+    const Micros requested_at = monotonic_us();
     HttpRequest request = protobuf_post(DirectoryFeedServer::kPath, encode(query));
     const CallResult result
         = co_await m_peers.call(feed_address, std::move(request), std::move(limits));
@@ -71,7 +71,7 @@
             .kv("reader", who)
             .kv("status", result.response.status)
             .kv("bytes", result.response.body.size())
-            .kv("us", monotonic_us() - asked_at);
+            .kv("us", monotonic_us() - requested_at);
         co_return fail(ErrorKind::UpstreamFailed, who);
     }
     auto answer = decode_feed_answer(result.response.body);
@@ -104,9 +104,10 @@
     options.handle = watch->call();
     options.on_head = [watch](const HttpResponse&) { watch->note_begun(); };
     if (!must_list) {
-        options.deadline_us = std::max(options.deadline_us, m_view.reader_due_at());
+        options.deadline_us = std::max(options.deadline_us, m_view.reader_deadline());
         // Where what is known gets old first, a silent reader must be found out sooner.
-        const bool stays_fresh = m_view.may_ask_again(answer_due + kReaderWaitLimit, now);
+        const bool stays_fresh
+            = m_view.may_retry_reader(answer_due + kReaderWaitLimit, now);
         const Micros sign_limit = stays_fresh ? kReaderWaitLimit : kSignWaitLimit;
         const Micros late_at = now + answer_due - (stays_fresh ? 0 : kSignWaitLimit);
         asio::co_spawn(m_io, watch->run(late_at, sign_limit), asio::detached);
@@ -151,18 +152,18 @@
         if (referred)
             continue;
         if (next + 1 == feeds.size()) {
-            m_view.note_peers_silent();
+            m_view.on_peers_unresponsive();
             m_pauses.at(DirectoryTopic::Daemons).cancel();
         }
-        co_await pause(m_view.in_turn(kRoundPause));
+        co_await pause(m_view.with_jitter(kRoundPause));
     }
 }
 
 asio::awaitable<std::optional<DirectoryReferral>>
 DirectoryWatch::own_referral()
 {
-    for (Micros rest = m_view.time_until_refer(monotonic_us()); rest > 0;
-         rest = m_view.time_until_refer(monotonic_us()))
+    for (Micros rest = m_view.time_until_referral(monotonic_us()); rest > 0;
+         rest = m_view.time_until_referral(monotonic_us()))
         co_await pause(rest);
     co_return m_view.refer(own_record());
 }
@@ -193,7 +194,7 @@
         referral = co_await ask_peer(feed_address, connect_limit);
     if (!referral)
         co_return false;
-    m_view.take_referral(*referral, monotonic_us());
+    m_view.apply_referral(*referral, monotonic_us());
     LogEvent("directory_referred")
         .kv("by", feed_address)
         .kv("role", to_string(referral->role))
@@ -240,7 +241,7 @@
         bool answers = true;
         if (is_known)
             answers = co_await gives_sign(peers_address);
-        if (m_view.unreachable().note_check(peers_address, answers)) {
+        if (m_view.unreachable().record_check(peers_address, answers)) {
             LogEvent("peer_checked", LogLevel::Warn)
                 .kv("peer", peers_address)
                 .kv("answers", answers)
--- a/src/libserve/directory/directory_watch_reader.cpp
+++ b/src/libserve/directory/directory_watch_reader.cpp
@@ -45,18 +45,18 @@
             co_await m_without_reader.async_wait(kToTuple);
             continue;
         }
-        Micros asked_at = monotonic_us();
+        Micros requested_at = monotonic_us();
         auto answer = co_await ask_reader(*asked, true);
         if (!answer && may_ask_reader_again()) {
-            asked_at = monotonic_us();
+            requested_at = monotonic_us();
             answer = co_await ask_reader(*asked, false);
         }
         if (!answer) {
             suspect_reader(*asked, m_reader_watch->gave_sign() ? "no_news" : "silent");
             continue;
         }
-        hear_generation(answer->generation);
-        note_answer(*answer, asked_at);
+        receive_generation(answer->generation);
+        record_response(*answer, requested_at);
         // One of an earlier version counts on at the offsets that it knew.
         if (answer->generation == 0 && m_view.restores() > 0)
             suspect_reader(*asked, "no_generation");
@@ -82,7 +82,7 @@
     if (m_reader_watch->is_connection_dead())
         return true;
     return !m_reader_watch->is_silent() && !m_reader_watch->gave_sign()
-        && m_view.may_ask_again(kReaderWaitLimit, monotonic_us());
+        && m_view.may_retry_reader(kReaderWaitLimit, monotonic_us());
 }
 
 /// Whom this daemon hears from changed: who came to read the directory itself does so at
--- a/src/libserve/peers/peer_watch.cpp
+++ b/src/libserve/peers/peer_watch.cpp
@@ -39,10 +39,10 @@
     : m_io(io)
     , m_kernel(kernel)
     , m_link(link)
-    , m_daemons(kernel.settings.node, silent_after(1, kernel.settings.directory_writes))
+    , m_daemons(kernel.settings.node, record_timeout(1, kernel.settings.directory_writes))
 {
     if (!kernel.settings.scheduler.switches.uses(Mechanism::StrongLeaders))
-        m_daemons.let_weak_nodes_lead();
+        m_daemons.allow_weak_leaders();
 }
 
 void
@@ -54,18 +54,18 @@
             m_daemons.drop(record.node);
         else
             m_daemons.apply(record, now);
-    m_daemons.note_read(now);
-    m_daemons.set_silent_after(
-        silent_after(m_daemons.alive(), m_kernel.settings.directory_writes));
+    m_daemons.on_directory_read(now);
+    m_daemons.set_record_timeout(
+        record_timeout(m_daemons.alive(), m_kernel.settings.directory_writes));
     m_kernel.daemons_in_hall.store(std::max(1, m_daemons.alive_in(m_kernel.settings.hall)));
     m_kernel.daemons.store(std::max(1, m_daemons.alive()));
     m_kernel.upstreams.set_daemons(m_daemons.alive(), now);
 }
 
 void
-PeerWatch::note_answer(const std::string& address)
+PeerWatch::record_response(const std::string& address)
 {
-    m_daemons.note_answer(address, monotonic_us());
+    m_daemons.record_response(address, monotonic_us());
 }
 
 void
--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -37,7 +37,7 @@
     /// lead nothing while they are named.
     void take_unreachable(std::set<std::string> addresses);
 
-    void note_answer(const std::string& address);
+    void record_response(const std::string& address);
     void suspect(const std::string& address);
 
 private:
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -236,7 +236,7 @@
         const auto answer = co_await m_link.order(leader, std::move(copy), handle);
         job->calls.erase(handle);
         if (answer) {
-            m_peers.note_answer(leader);
+            m_peers.record_response(leader);
             note_wait(*job, set_name, answer->expected_wait);
             co_return answer;
         }
@@ -288,7 +288,7 @@
         m_peers.suspect(leader);
         co_return PlaceAnswer {};
     }
-    m_peers.note_answer(leader);
+    m_peers.record_response(leader);
     job->take_words(answer->limits, monotonic_us());
     co_return *std::move(answer);
 }
--- a/src/libserve/settings.cpp
+++ b/src/libserve/settings.cpp
@@ -112,7 +112,7 @@
         settings.platform.kind = kind;
         read_address(reader, "store", true, settings.platform.log);
         read_directory_bounds(reader, settings);
-        read_ms(reader, "vanish_grace_ms", settings.vanish_grace);
+        read_ms(reader, "vanish_grace_ms", settings.removal_grace_period);
         return;
     }
     read_plugin<PlatformClient>(reader, "kind", settings.platform.kind);
--- a/src/libserve/settings.h
+++ b/src/libserve/settings.h
@@ -46,7 +46,7 @@
     Micros directory_heartbeat = 1200 * kMillisecond; ///< between records of an upstream
     double directory_writes = 400; ///< that the directory bears in a second
     /// How long an upstream whose record went in an outage is still believed in.
-    Micros vanish_grace = 2 * kSecond;
+    Micros removal_grace_period = 2 * kSecond;
     std::vector<std::string> peers; ///< addresses of other daemons of the hall
     int threads = 2;
     std::string router = "adaptive";
--- a/testsuite/fuzz/directory_world.h
+++ b/testsuite/fuzz/directory_world.h
@@ -109,7 +109,7 @@
         std::size_t to = 0;
         std::uint64_t life = 0; ///< of the one who asks
         FeedQuery query;
-        Micros asked_at = 0;
+        Micros requested_at = 0;
     };
     struct Reply {
         Question question;
@@ -234,13 +234,13 @@
     {
         DirectoryView& view = *m_daemons[daemon].view;
         // What such an answer holds is of offsets that hold no more.
-        if (view.note_generation(m_generation, m_now))
+        if (view.record_generation(m_generation, m_now))
             return;
         const Topic& log = of(topic);
         const std::optional<Offset> next = view.of(topic).next;
         if (next && (*next < log.first || *next > log.end())) {
             // It lists the topic by itself, or is told of all of it by another daemon.
-            view.note_history_lost(topic, m_now);
+            view.on_history_lost(topic, m_now);
             return;
         }
         if (!next) {
@@ -252,7 +252,7 @@
             records.push_back(log.records[static_cast<std::size_t>(at)].record);
         if (topic == DirectoryTopic::Upstreams)
             note_page(m_daemons[daemon], *next, records);
-        view.take_page(topic, *next, records, m_now, 0, m_now);
+        view.apply_page(topic, *next, records, m_now, 0, m_now);
     }
 
     static void note_told(Daemon& daemon, const DirectoryRecord& record)
@@ -297,7 +297,7 @@
             for (const DirectoryRecord& record : records)
                 note_told(m_daemons[daemon], record);
         view.begin_listing(topic, m_now);
-        view.take_listed(topic, records, m_now);
+        view.apply_listed(topic, records, m_now);
         view.end_listing(topic, log.end(), m_now, m_now);
         if (topic == DirectoryTopic::Upstreams)
             m_daemons[daemon].ended.clear();
@@ -321,9 +321,9 @@
         const auto at
             = m_questions.begin() + static_cast<std::ptrdiff_t>(index % m_questions.size());
         DirectoryView& asked = *m_daemons[at->to].view;
-        asked.hear_generation(at->query.generation, m_now);
+        asked.receive_generation(at->query.generation, m_now);
         Reply reply {*at, asked.answer_to(at->query, m_now)};
-        reply.answer.held = held ? m_now - at->asked_at : 0;
+        reply.answer.held = held ? m_now - at->requested_at : 0;
         m_questions.erase(at);
         m_replies.push_back(std::move(reply));
     }
@@ -339,11 +339,11 @@
         Daemon& daemon = m_daemons[reply.question.from];
         if (reply.question.life != m_lives[reply.question.from])
             return;
-        daemon.view->hear_generation(reply.answer.generation, m_now);
+        daemon.view->receive_generation(reply.answer.generation, m_now);
         if (daemon.view->generation() == reply.answer.generation)
             note_ended(daemon, reply.answer);
         const auto answer = decode_feed_answer(encode(reply.answer));
-        daemon.view->take_answer(*answer, reply.question.asked_at, m_now);
+        daemon.view->take_answer(*answer, reply.question.requested_at, m_now);
     }
 
     static void note_ended(Daemon& daemon, const FeedAnswer& answer)
@@ -353,10 +353,10 @@
             if (topic.topic != DirectoryTopic::Upstreams)
                 continue;
             const bool is_listing = !topic.listing.empty()
-                && topic.listing_end >= known.known_to
+                && topic.listing_end >= known.known_end
                 && known.next.value_or(-1) < topic.listing_end;
             if (is_listing)
-                note_listed(daemon, topic);
+                mark_listed(daemon, topic);
             if (!is_listing && !known.next)
                 continue;
             const Offset next = is_listing ? topic.listing_end : *known.next;
@@ -370,7 +370,7 @@
     }
 
     /// All of the topic from another daemon, like a listing of the log's.
-    static void note_listed(Daemon& daemon, const FeedAnswer::Topic& topic)
+    static void mark_listed(Daemon& daemon, const FeedAnswer::Topic& topic)
     {
         daemon.ended.clear();
         for (const std::string& part : topic.listing) {
