--- a/src/include/cypressford/daemon_table.h
+++ b/src/include/cypressford/daemon_table.h
@@ -22,7 +22,7 @@
 /// query the reader of their part.  A fleet of 295 daemons thus makes 2.6 calls a second,
 /// and 26 if each of its ten readers reads the directory by itself.
 enum class DirectoryRole : unsigned char {
-    Fresh, ///< no daemon is known yet, not even this one's record: reads only the daemons
+    Fresh, ///< no daemon is known yet, not even this one: reads only daemon records
     Root, ///< reads the directory itself
     HallReader, ///< queries the root reader, and serves its part of the hall
     Follower
--- a/src/include/cypressford/directory_view.h
+++ b/src/include/cypressford/directory_view.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One daemon's state of the directory, whichever source its records came from, with the
-/// age of that state, and when to refresh it from which source.
+/// One daemon's state of the directory, regardless of the source of its records; the age
+/// of that state, and when to refresh it from which source.
 
 #pragma once
 
@@ -156,7 +156,7 @@
     std::vector<DirectoryRecord> lost_suspects(std::string_view prefix) const;
 
     /// True once enough is known to serve requests.  Without the records of daemons, a
-    /// daemon takes itself for the leader of all sets: when 295 start at the same time and
+    /// daemon assumes that it leads all sets: when 295 start at the same time and
     /// each makes its own calls, 1,205 of 2,610 calls for pieces find their upstream full.
     /// Without the records of suspects, it relays requests that all others refuse.
     bool can_serve(Micros now) const;
--- a/src/libcypressford/daemon_table.cpp
+++ b/src/libcypressford/daemon_table.cpp
@@ -23,7 +23,7 @@
 constexpr double kMinRecordsPerSecond = 2;
 constexpr Micros kMinPublishInterval = 3 * kSecond;
 constexpr int kRecordIntervalsPerTimeout = 3;
-/// Number of daemons in a referral, so that the next one can be queried if one fails.
+/// Number of daemons in a referral, so that another can be queried if one does not answer.
 constexpr std::size_t kMaxReferredDaemons = 4;
 
 /// Highest random weight (Thaler and Ravishankar, 1998): every daemon computes the same
