--- a/src/cypressford/operator_log.cpp
+++ b/src/cypressford/operator_log.cpp
@@ -65,7 +65,7 @@
         return tl::unexpected(all.error());
     BundleFold fold({options.trust, from_hex(options.daemon_key)});
     Offset offset = all->first;
-    fold.note_first_retained(offset);
+    fold.on_first_retained(offset);
     for (const std::string& text : all->second)
         fold.apply(offset++, text);
     return fold;
@@ -111,7 +111,7 @@
     const std::string wanted = encode(record);
     std::optional<FoldResult> result;
     Offset offset = all->first;
-    fold.note_first_retained(offset);
+    fold.on_first_retained(offset);
     for (const std::string& text : all->second) {
         const FoldResult outcome = fold.apply(offset++, text);
         if (text == wanted && (!result || outcome == FoldResult::Accepted))
--- a/src/libcypressford/bundle.cpp
+++ b/src/libcypressford/bundle.cpp
@@ -160,9 +160,10 @@
     std::set<std::string> seen;
     for (const auto& item : items) {
         if (item.name.empty())
-            faults.push_back({0, std::string(what) + " without a name"});
+            faults.push_back({0, std::string(what) + " has no name"});
         else if (!seen.insert(item.name).second)
-            faults.push_back({0, std::string(what) + " '" + item.name + "' stands twice"});
+            faults.push_back(
+                {0, std::string(what) + " '" + item.name + "' is defined twice"});
     }
 }
 
@@ -174,7 +175,7 @@
         = "pipeline '" + pipeline.name + "' stage '" + stage.name + "': ";
     const ModelSpec* model = find_named(bundle.models, stage.model);
     if (!model) {
-        faults.push_back({0, where + "no model '" + stage.model + "'"});
+        faults.push_back({0, where + "unknown model '" + stage.model + "'"});
         return;
     }
     const auto& adapters = model->adapters;
@@ -182,7 +183,7 @@
         && std::find(adapters.begin(), adapters.end(), stage.adapter) == adapters.end())
         faults.push_back({0, where + "model has no adapter '" + stage.adapter + "'"});
     if (!stage.repeatable)
-        faults.push_back({0, where + "a generate stage is always repeatable"});
+        faults.push_back({0, where + "a generate stage must be repeatable"});
 }
 
 void
@@ -191,19 +192,21 @@
 {
     const std::string where = "pipeline '" + pipeline.name + "': ";
     if (pipeline.stages.size() != 1)
-        faults.push_back({0, where + "a relayed pipeline has one stage"});
+        faults.push_back({0, where + "a relayed pipeline must have exactly one stage"});
     if (pipeline.host.empty() || !pipeline.path_prefix.starts_with('/')
         || !pipeline.path_prefix.ends_with('/'))
-        faults.push_back({0, where + "needs a host and a path prefix between slashes"});
+        faults.push_back(
+            {0,
+             where + "needs a host and a path prefix that begins and ends with a slash"});
     for (std::size_t at = 0; at < pipeline.piece_stages.size(); ++at) {
         const PieceStageSpec& stage = pipeline.piece_stages[at];
         const UpstreamSetSpec* set = find_named(bundle.upstream_sets, stage.upstream_set);
         if (!set || !set->batch)
             faults.push_back(
-                {0, where + "no upstreams for pieces '" + stage.upstream_set + "'"});
+                {0, where + "no upstream set for pieces '" + stage.upstream_set + "'"});
         for (const std::size_t before : stage.after)
             if (before >= pipeline.piece_stages.size() || before == at)
-                faults.push_back({0, where + "a piece stage needs one that is not there"});
+                faults.push_back({0, where + "a piece stage depends on an invalid index"});
     }
 }
 
@@ -221,7 +224,8 @@
     std::size_t once = 0;
     for (const auto& stage : pipeline.stages) {
         if (!find_named(bundle.upstream_sets, stage.upstream_set))
-            faults.push_back({0, where + "no upstreams '" + stage.upstream_set + "'"});
+            faults.push_back(
+                {0, where + "unknown upstream set '" + stage.upstream_set + "'"});
         if (stage.kind == StageKind::Generate && !pipeline.relayed)
             check_generate(bundle, pipeline, stage, faults);
         once += stage.repeatable ? 0 : 1;
@@ -231,7 +235,8 @@
     const bool ends_in_generate
         = !pipeline.stages.empty() && pipeline.stages.back().kind == StageKind::Generate;
     if (pipeline.stream && !pipeline.relayed && (!ends_in_generate || once > 0))
-        faults.push_back({0, where + "a stream ends in generate and is repeatable"});
+        faults.push_back(
+            {0, where + "a stream must end in a generate stage and be repeatable"});
 }
 
 bool
@@ -287,7 +292,7 @@
                          {"checks_fence", set.checks_fence},
                          {"deduplicates", set.deduplicates},
                          {"halls", std::move(halls)}};
-    // Left out where they say nothing, so that signatures of earlier bundles hold.
+    // Default values are omitted, so that signatures of earlier bundles stay valid.
     if (set.cold.time > 0)
         object["cold_ms"] = set.cold.time / kMillisecond;
     if (set.cold.per_s > 0)
@@ -327,11 +332,11 @@
 {
     std::vector<Fault> faults;
     if (bundle.name.empty())
-        faults.push_back({0, "bundle without a name"});
+        faults.push_back({0, "bundle has no name"});
     if (bundle.version == 0 || bundle.builds_on >= bundle.version)
-        faults.push_back({0, "version must be above builds_on"});
+        faults.push_back({0, "version must be greater than builds_on"});
     if (bundle.pipelines.empty())
-        faults.push_back({0, "bundle without a pipeline"});
+        faults.push_back({0, "bundle has no pipeline"});
     check_unique(bundle.models, "model", faults);
     check_unique(bundle.upstream_sets, "upstream set", faults);
     check_unique(bundle.pipelines, "pipeline", faults);
@@ -350,7 +355,7 @@
             && account.rate > 0 && account.burst >= 1;
         if (!is_hex_digest(account.credential_sha256) || !positive)
             faults.push_back(
-                {0, "account '" + account.name + "': digest, rate or burst is off"});
+                {0, "account '" + account.name + "': invalid digest, rate or burst"});
     }
     return faults;
 }
@@ -375,7 +380,7 @@
 Result<Bundle>
 parse_bundle_json(std::string_view text)
 {
-    // JSON is a subset of YAML, so one reader and one set of checks serves both.
+    // JSON is a subset of YAML, so one reader and one set of checks serve both.
     auto bundle = parse_bundle_yaml(text);
     if (bundle)
         return *std::move(bundle);
--- a/src/libcypressford/bundle_fold.cpp
+++ b/src/libcypressford/bundle_fold.cpp
@@ -48,7 +48,7 @@
     return record;
 }
 
-/// False if the value is no list of records.
+/// False if the value is not a list of records.
 bool
 read_records(const json::value& value, std::vector<BundleRecord>& records)
 {
@@ -99,8 +99,8 @@
                        {"newest", snapshot.newest},
                        {"in_force", snapshot.in_force},
                        {"accepted", to_json(snapshot.accepted)}};
-    // Left out where there is nothing to say: daemons of an earlier version authenticate
-    // the text without it.
+    // Omitted if empty: daemons of an earlier version authenticate the text without
+    // this member.
     if (!snapshot.evacuations.empty())
         body["evacuations"] = to_json(snapshot.evacuations);
     return body;
@@ -175,16 +175,16 @@
 {
     if (offset < m_next)
         return FoldResult::Repeated;
-    note_first_retained(offset);
+    on_first_retained(offset);
     m_next = offset + 1;
     const auto object = parse_json_object(text);
     if (!object)
         return FoldResult::BadBundle;
     if (const auto snapshot = snapshot_from(*object)) {
-        // Counts only if nothing came between what it covers and itself.
+        // Valid only if no record lies between the last one it covers and itself.
         if (!authentic(*snapshot) || snapshot->covers != offset - 1)
             return FoldResult::Conflict;
-        m_rests_on = offset;
+        m_oldest_needed = offset;
         return m_has_base ? FoldResult::Repeated : load(*snapshot);
     }
     const auto record = record_from(*object);
@@ -194,11 +194,11 @@
 }
 
 void
-BundleFold::note_first_retained(Offset first)
+BundleFold::on_first_retained(Offset first)
 {
     if (first <= m_next)
         return;
-    // What was missed may have changed the state, so the state held here stays
+    // The missed records may have changed the state, so the state held here stays
     // in force, and only a snapshot can bring this fold up to date.
     m_next = first;
     m_has_base = false;
@@ -216,7 +216,7 @@
     if (snapshot->covers + 1 < m_next)
         return FoldResult::Conflict;
     m_next = snapshot->covers + 1;
-    m_rests_on = m_next;
+    m_oldest_needed = m_next;
     return load(*snapshot);
 }
 
@@ -233,7 +233,7 @@
     if (!std::all_of(snapshot.evacuations.begin(), snapshot.evacuations.end(),
                      [this](const BundleRecord& record) { return trusts(record); }))
         return FoldResult::BadSignature;
-    // Never go back, whatever a snapshot says.
+    // Versions never go back, whatever a snapshot contains.
     if (snapshot.in_force < m_in_force || snapshot.newest < m_newest)
         return FoldResult::Conflict;
     m_accepted = std::move(accepted);
@@ -289,7 +289,7 @@
     if (older || m_accepted.count(version) == 0)
         return FoldResult::Conflict;
     m_in_force = version;
-    // Versions before the one in force can't come back; requests that live in
+    // Versions before the one in force can't return; requests that were started under
     // them hold their own snapshot.
     if (!mutated(Mutation::BundleGoesBack))
         m_accepted.erase(m_accepted.begin(), m_accepted.find(version));
@@ -311,7 +311,7 @@
         return FoldResult::BadBundle;
     const auto at = static_cast<Offset>(record.version);
     const Offset newest = m_evacuations.newest(record.name);
-    const bool begun = record.action == BundleAction::Evacuate;
+    const bool evacuated = record.action == BundleAction::Evacuate;
     if (at < newest)
         return FoldResult::Conflict;
     if (at == newest)
@@ -319,7 +319,7 @@
             ? FoldResult::Repeated
             : FoldResult::Conflict;
     m_evacuation_records[record.name] = record;
-    m_evacuations.apply({record.name, begun}, at);
+    m_evacuations.apply({record.name, evacuated}, at);
     return FoldResult::Accepted;
 }
 
--- a/src/libcypressford/bundle_test.cpp
+++ b/src/libcypressford/bundle_test.cpp
@@ -23,7 +23,7 @@
         + priority + "\n    stages: [{name: look, kind: call, upstreams: desk}]\n";
 }
 
-/// A log with one operator, and a fold that trusts it.
+/// An operator with a key pair, and the trust settings of a fold that accepts its records.
 struct Operator {
     KeyPair keys = *make_key_pair();
     BundleTrust trust {{keys.public_hex}, std::string(32, 'k')};
@@ -37,7 +37,7 @@
         record.bundle = canonical_json(bundle);
         return encode(*sign_record(record, keys.private_pem));
     }
-    std::string act(BundleAction action, std::uint64_t version) const
+    std::string record_of(BundleAction action, std::uint64_t version) const
     {
         BundleRecord record;
         record.action = action;
@@ -45,8 +45,8 @@
         record.version = version;
         return encode(*sign_record(record, keys.private_pem));
     }
-    std::string on_hall(BundleAction action, const std::string& hall,
-                        std::uint64_t number) const
+    std::string evacuation_record(BundleAction action, const std::string& hall,
+                                  std::uint64_t number) const
     {
         BundleRecord record;
         record.action = action;
@@ -56,13 +56,13 @@
     }
     std::string roll(std::uint64_t version) const
     {
-        return act(BundleAction::Roll, version);
+        return record_of(BundleAction::Roll, version);
     }
 };
 
 } // namespace
 
-TEST_CASE("a bundle survives its canonical form unchanged")
+TEST_CASE("a bundle is unchanged by a round trip through its canonical form")
 {
     const Bundle bundle = *parse_bundle_yaml(bundle_text(3, 2));
     const std::string text = canonical_json(bundle);
@@ -83,7 +83,7 @@
     CHECK(bundle.error()[2].line == 3);
 }
 
-TEST_CASE("of two operators who race, the first one in the log wins everywhere")
+TEST_CASE("of two conflicting bundles the first one in the log is accepted")
 {
     const Operator op;
     BundleFold fold(op.trust);
@@ -100,7 +100,7 @@
     CHECK(fold.in_force()->pipelines.at(0).priority == 2);
 }
 
-TEST_CASE("records that no operator signed change nothing")
+TEST_CASE("records that are not signed by a known operator change nothing")
 {
     const Operator op;
     const Operator stranger;
@@ -113,7 +113,8 @@
     CHECK(fold.newest_version() == 0);
 }
 
-TEST_CASE("a fold that missed records waits for a snapshot and never goes back")
+TEST_CASE(
+    "a fold that missed records needs a snapshot and never returns to an older bundle")
 {
     const Operator op;
     BundleFold full(op.trust);
@@ -123,17 +124,17 @@
     const std::string snapshot = encode(full.snapshot());
 
     BundleFold late(op.trust);
-    late.note_first_retained(2);
+    late.on_first_retained(2);
     CHECK(late.apply(2, op.publish(2, 1)) == FoldResult::NoBase);
     CHECK(late.apply(3, snapshot) == FoldResult::Accepted);
     CHECK(late.in_force_version() == 1);
     CHECK(late.newest_version() == 2);
-    // A snapshot that something overtook does not count.
+    // A snapshot that another record precedes in the log has no effect.
     BundleFold later(op.trust);
-    later.note_first_retained(4);
+    later.on_first_retained(4);
     CHECK(later.apply(4, snapshot) == FoldResult::Conflict);
     CHECK(later.in_force() == nullptr);
-    // A stale one from a peer does not take a newer state back.
+    // An outdated snapshot from a peer does not revert a newer state.
     late.apply(4, op.roll(2));
     CHECK(late.adopt(snapshot) == FoldResult::Repeated);
     CHECK(late.in_force_version() == 2);
@@ -142,33 +143,33 @@
     CHECK(BundleFold(op.trust).adopt(forged) == FoldResult::BadSignature);
 }
 
-TEST_CASE("operators evacuate halls, and an older record undoes nothing")
+TEST_CASE("an older evacuation record that is appended late has no effect")
 {
     const Operator op;
     BundleFold fold(op.trust);
     using Halls = std::vector<std::string>;
-    CHECK(fold.apply(0, op.on_hall(BundleAction::Evacuate, "north", 1))
+    CHECK(fold.apply(0, op.evacuation_record(BundleAction::Evacuate, "north", 1))
           == FoldResult::Accepted);
     CHECK(fold.evacuations().halls() == Halls {"north"});
-    CHECK(fold.apply(1, op.on_hall(BundleAction::EndEvacuation, "north", 2))
+    CHECK(fold.apply(1, op.evacuation_record(BundleAction::EndEvacuation, "north", 2))
           == FoldResult::Accepted);
     CHECK(fold.evacuations().halls().empty());
-    // The first record again: its append had lost its answer and takes effect late.
-    CHECK(fold.apply(2, op.on_hall(BundleAction::Evacuate, "north", 1))
+    // The first record again: its append was not acknowledged and takes effect late.
+    CHECK(fold.apply(2, op.evacuation_record(BundleAction::Evacuate, "north", 1))
           == FoldResult::Conflict);
-    CHECK(fold.apply(3, op.on_hall(BundleAction::EndEvacuation, "north", 2))
+    CHECK(fold.apply(3, op.evacuation_record(BundleAction::EndEvacuation, "north", 2))
           == FoldResult::Repeated);
-    CHECK(fold.apply(4, op.on_hall(BundleAction::Evacuate, "", 3))
+    CHECK(fold.apply(4, op.evacuation_record(BundleAction::Evacuate, "", 3))
           == FoldResult::BadBundle);
     CHECK(fold.evacuations().halls().empty());
 }
 
-TEST_CASE("a snapshot carries evacuations, and a forged one is refused")
+TEST_CASE("a snapshot contains evacuations, and a forged snapshot is refused")
 {
     const Operator op;
     BundleFold fold(op.trust);
     fold.apply(0, op.publish(1, 0));
-    fold.apply(1, op.on_hall(BundleAction::Evacuate, "north", 1));
+    fold.apply(1, op.evacuation_record(BundleAction::Evacuate, "north", 1));
     BundleFold fresh(op.trust);
     CHECK(fresh.adopt(encode(fold.snapshot())) == FoldResult::Accepted);
     CHECK(fresh.evacuations().halls() == std::vector<std::string> {"north"});
--- a/src/libcypressford/piece_queue.cpp
+++ b/src/libcypressford/piece_queue.cpp
@@ -144,8 +144,8 @@
 Micros
 PieceQueue::kept_until(const UpstreamSet& set, Micros now)
 {
-    const Micros keep_time = set.spec.batch ? set.spec.batch->keep_time : 0;
-    return now + full_call_time(set.spec) + keep_time;
+    const Micros retention_time = set.spec.batch ? set.spec.batch->retention_time : 0;
+    return now + full_call_time(set.spec) + retention_time;
 }
 
 std::shared_ptr<UpstreamState>
--- a/src/libcypressford/upstream.cpp
+++ b/src/libcypressford/upstream.cpp
@@ -229,7 +229,7 @@
         auto& state = m_accounts[spec.name];
         if (!state)
             state = std::make_shared<AccountState>();
-        for (const auto& digest : spec.more_credentials)
+        for (const auto& digest : spec.additional_credentials)
             resolved.account_by_digest[digest] = resolved.accounts.size();
         resolved.account_by_digest[spec.credential_sha256] = resolved.accounts.size();
         resolved.accounts.push_back({spec, state, halls_of(spec.regions)});
--- a/src/libserve/hall/bundle_service.cpp
+++ b/src/libserve/hall/bundle_service.cpp
@@ -70,7 +70,7 @@
             co_await pause.async_wait(kToTuple);
             continue;
         }
-        m_fold.note_first_retained(page->first);
+        m_fold.on_first_retained(page->first);
         Offset offset = page->from;
         for (const std::string& record : page->records) {
             const FoldResult result = m_fold.apply(offset, record);
@@ -89,7 +89,7 @@
 BundleService::snapshot_loop()
 {
     BootTimer timer(m_io);
-    Offset last_rest = m_fold.rests_on();
+    Offset last_rest = m_fold.oldest_needed();
     for (;;) {
         // Daemons that start together must not all append at once.
         const auto spread = static_cast<Micros>(m_kernel.incarnation % 1000) * kMillisecond;
@@ -97,8 +97,8 @@
         timer.expires_after(
             std::chrono::microseconds(interval + spread * (interval / kSecond) / 4));
         co_await timer.async_wait(kToTuple);
-        const bool fresh = m_fold.rests_on() != last_rest;
-        last_rest = m_fold.rests_on();
+        const bool fresh = m_fold.oldest_needed() != last_rest;
+        last_rest = m_fold.oldest_needed();
         if (fresh || !m_reader || !m_fold.has_base() || m_fold.newest_version() == 0)
             continue;
         const auto offset = co_await m_platform.append(kStream, encode(m_fold.snapshot()));
