--- a/src/include/cypressford/codec.h
+++ b/src/include/cypressford/codec.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Records of the claims stream as bytes (Protocol Buffers).
+/// Binary form of the claims stream's records (Protocol Buffers).
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 std::string encode(const ClaimBatch& batch);
 
-/// Nothing for bytes that are no record; readers skip those.
+/// Null if the bytes are not a valid record; readers skip such records.
 std::optional<ClaimBatch> decode_claims(std::string_view bytes);
 
 } // namespace cypressford
--- a/src/libcypressford/claim_ledger.cpp
+++ b/src/libcypressford/claim_ledger.cpp
@@ -13,7 +13,7 @@
 {
     if (offset < m_next)
         return;
-    note_first_retained(offset, now);
+    on_first_retained(offset, now);
     m_next = offset + 1;
     // The maker had read past the gap when it made this record, so all records
     // in the gap were appended before `made_at` by its clock, and no key in
@@ -29,18 +29,18 @@
 }
 
 void
-ClaimLedger::note_first_retained(Offset first, WallMs now)
+ClaimLedger::on_first_retained(Offset first, WallMs now)
 {
     if (first <= m_next)
         return;
     m_gap_end = first;
     m_next = first;
-    // Until a record tells more: all that was missed was appended before now.
+    // Until a record gives a lower bound: all missed records were appended before now.
     m_gap_floor = latest_key_before(now);
 }
 
-/// The latest time of a key in a record that was appended before `time`, by
-/// whichever clocks.
+/// The latest possible time of a key in a record that was appended before `time`, given
+/// the error of both clocks.
 WallMs
 ClaimLedger::latest_key_before(WallMs time) const
 {
--- a/src/libcypressford/claimer.cpp
+++ b/src/libcypressford/claimer.cpp
@@ -50,10 +50,10 @@
 }
 
 void
-Claimer::on(const ClaimWanted& event)
+Claimer::on(const ClaimRequested& event)
 {
     Pending pending;
-    pending.want = event;
+    pending.requested = event;
     pending.id = {m_maker, m_next_number++};
     auto& stored = m_pending.emplace(event.request, std::move(pending)).first->second;
     m_by_id.emplace(stored.id, event.request);
@@ -65,21 +65,22 @@
         decide_from_ledger(stored);
     else if (event.key_time <= m_ledger.floor())
         decide(stored, ClaimResult::Expired, std::nullopt);
-    else if (log_is_out(m_time.now))
+    else if (log_unavailable(m_time.now))
         decide(stored, ClaimResult::Unavailable, std::nullopt);
 }
 
 void
-Claimer::on(const ClaimOver& event)
+Claimer::on(const ClaimRequestEnded& event)
 {
     auto it = m_pending.find(event.request);
     if (it == m_pending.end())
         return;
     Pending& pending = it->second;
-    pending.over = true;
+    pending.finished = true;
     if (pending.won) {
-        const ClaimWanted& want = pending.want;
-        ClaimEnded end {pending.id, want.key, want.key_time, event.outcome, event.answer};
+        const ClaimRequested& requested = pending.requested;
+        ClaimEnded end {pending.id, requested.key, requested.key_time, event.outcome,
+                        event.answer};
         if (end.answer && end.answer->body.size() > m_options.max_answer)
             end.answer.reset();
         m_ends[pending.id] = std::move(end);
@@ -98,7 +99,7 @@
         if (it != m_pending.end())
             (event.stored ? it->second.stored : it->second.in_doubt) = true;
     }
-    // An end that is in the log for certain has done its work.
+    // An end that is certainly in the log needs no further append.
     if (event.stored)
         for (const ClaimId& id : m_appending_ends)
             m_ends.erase(id);
@@ -108,7 +109,7 @@
     }
     if (!m_failing_since)
         m_failing_since = m_time.now;
-    m_retry_at = m_time.now + m_options.retry_append;
+    m_retry_at = m_time.now + m_options.append_retry_delay;
 }
 
 void
@@ -117,25 +118,26 @@
     if (event.offset < m_ledger.next())
         return;
     m_ledger.apply(event.offset, event.batch, m_time.wall);
-    // Our own record in the log: appends take effect, only answers are lost.
+    // This daemon's own record is in the log: appends take effect, only their answers are
+    // lost.
     if (event.batch.maker == m_maker) {
         m_failing_since.reset();
         m_retry_at = 0;
     }
     for (const ClaimMade& claim : event.batch.claims)
         if (claim.id.maker == m_maker)
-            meet_own_claim(claim);
+            on_own_claim(claim);
     for (const ClaimEnded& end : event.batch.ends) {
         if (end.id.maker == m_maker)
             m_ends.erase(end.id);
-        revisit(end.key);
+        reconsider_pending(end.key);
     }
 }
 
 void
 Claimer::on(const FirstRetained& event)
 {
-    m_ledger.note_first_retained(event.offset, m_time.wall);
+    m_ledger.on_first_retained(event.offset, m_time.wall);
 }
 
 void
@@ -144,15 +146,15 @@
     expire_pending();
 }
 
-/// Decides a request whose key is claimed already, by whomever.
+/// Decides a request whose key is claimed already, by this or another daemon.
 void
 Claimer::decide_from_ledger(Pending& pending)
 {
-    const auto& state = *m_ledger.find(pending.want.key);
-    if (state.fingerprint != pending.want.fingerprint)
+    const auto& state = *m_ledger.find(pending.requested.key);
+    if (state.fingerprint != pending.requested.fingerprint)
         return decide(pending, ClaimResult::Mismatch, std::nullopt);
     if (!state.outcome)
-        return; // its outcome may still come before the deadline
+        return; // the outcome may still arrive before the deadline
     const bool replayable = state.outcome == ClaimOutcome::Done && state.answer;
     decide(pending, replayable ? ClaimResult::Replayed : ClaimResult::Unknown,
            state.answer);
@@ -161,20 +163,20 @@
 void
 Claimer::decide(Pending& pending, ClaimResult result, std::optional<RecordedAnswer> answer)
 {
-    DecideClaim decision {pending.want.request, result, std::move(answer), 0};
+    DecideClaim decision {pending.requested.request, result, std::move(answer), 0};
     if (result == ClaimResult::Won) {
         pending.won = true;
         decision.fence = m_ledger.next();
     } else {
-        pending.over = true;
+        pending.finished = true;
         release_if_needed(pending);
-        m_finished.push_back(pending.want.request);
+        m_finished.push_back(pending.requested.request);
     }
     m_out->push_back(std::move(decision));
 }
 
 void
-Claimer::meet_own_claim(const ClaimMade& claim)
+Claimer::on_own_claim(const ClaimMade& claim)
 {
     auto it = m_by_id.find(claim.id);
     if (it == m_by_id.end())
@@ -186,7 +188,7 @@
     const auto* state = m_ledger.find(claim.key);
     const bool held = state && state->claimed;
     if (held && state->winner == claim.id) {
-        // Records that could not be read may hold an earlier claim.
+        // Records that could not be read may contain an earlier claim.
         const bool certain = claim.key_time > m_ledger.floor();
         decide(pending, certain ? ClaimResult::Won : ClaimResult::Expired, std::nullopt);
     } else if (held) {
@@ -196,10 +198,10 @@
     }
 }
 
-/// The outcome for a key has come: whoever waits for it is decided, or, if the
-/// key was released, gets a new chance.
+/// Handles an outcome read for a key: requests that wait for the key are decided or, if
+/// the key was released, claim it again.
 void
-Claimer::revisit(const std::string& key)
+Claimer::reconsider_pending(const std::string& key)
 {
     const auto* state = m_ledger.find(key);
     if (!state)
@@ -207,7 +209,7 @@
     auto [first, last] = m_by_key.equal_range(key);
     for (auto it = first; it != last; ++it) {
         Pending& pending = m_pending.at(it->second);
-        if (pending.over || pending.won)
+        if (pending.finished || pending.won)
             continue;
         if (state->claimed)
             decide_from_ledger(pending);
@@ -216,36 +218,36 @@
     }
 }
 
-/// Takes back a claim that will not be used.  Not needed if it never left, nor
-/// if its only copy was met in the log and lost.
+/// Releases a claim that will not be used.  Not needed if it was never appended, nor
+/// if its only copy was read in the log and lost to another claim.
 void
 Claimer::release_if_needed(const Pending& pending)
 {
-    const auto* state = m_ledger.find(pending.want.key);
+    const auto* state = m_ledger.find(pending.requested.key);
     const bool lost = state && state->claimed && state->winner != pending.id;
     if (!pending.appended || (pending.seen && lost && !pending.in_doubt))
         return;
-    const ClaimWanted& want = pending.want;
-    m_ends[pending.id]
-        = {pending.id, want.key, want.key_time, ClaimOutcome::NotRun, std::nullopt};
+    const ClaimRequested& requested = pending.requested;
+    m_ends[pending.id] = {pending.id, requested.key, requested.key_time,
+                          ClaimOutcome::NotRun, std::nullopt};
 }
 
-/// Requests whose deadline has come are answered, decided or not.
+/// Decides requests whose deadline has passed, whether or not their key has an outcome.
 void
 Claimer::expire_pending()
 {
     for (auto& [request, pending] : m_pending) {
-        if (pending.over || pending.won || m_time.now < pending.want.deadline)
+        if (pending.finished || pending.won || m_time.now < pending.requested.deadline)
             continue;
-        const auto* state = m_ledger.find(pending.want.key);
+        const auto* state = m_ledger.find(pending.requested.key);
         const bool held = state && state->claimed;
         decide(pending, held ? ClaimResult::InProgress : ClaimResult::Unavailable,
                std::nullopt);
     }
-    if (!log_is_out(m_time.now))
+    if (!log_unavailable(m_time.now))
         return;
     for (auto& [request, pending] : m_pending)
-        if (!pending.over && !pending.won && !m_ledger.find(pending.want.key))
+        if (!pending.finished && !pending.won && !m_ledger.find(pending.requested.key))
             decide(pending, ClaimResult::Unavailable, std::nullopt);
 }
 
@@ -257,7 +259,7 @@
         if (it == m_pending.end())
             continue;
         m_by_id.erase(it->second.id);
-        auto [first, last] = m_by_key.equal_range(it->second.want.key);
+        auto [first, last] = m_by_key.equal_range(it->second.requested.key);
         for (auto entry = first; entry != last; ++entry) {
             if (entry->second == request) {
                 m_by_key.erase(entry);
@@ -274,14 +276,14 @@
 {
     if (m_append_running || m_time.now < m_retry_at)
         return;
-    const Micros burst = m_options.min_append_gap * (m_options.append_burst - 1);
+    const Micros burst = m_options.min_append_interval * (m_options.append_burst - 1);
     if (m_time.now < m_next_append - burst)
         return;
     ClaimBatch batch = make_batch();
-    // While the log is out an empty record finds out when it is back.
+    // While the log is unavailable, an empty record detects its recovery.
     if (batch.empty() && !m_failing_since)
         return;
-    m_next_append = std::max(m_next_append, m_time.now) + m_options.min_append_gap;
+    m_next_append = std::max(m_next_append, m_time.now) + m_options.min_append_interval;
     m_append_running = true;
     m_out->push_back(StartAppend {std::move(batch)});
 }
@@ -304,14 +306,15 @@
     for (auto& [request, pending] : m_pending) {
         if (batch.claims.size() == m_options.max_batch)
             break;
-        const auto* state = m_ledger.find(pending.want.key);
+        const auto* state = m_ledger.find(pending.requested.key);
         const bool held = state && state->claimed;
-        if (pending.over || pending.won || pending.seen || pending.stored || held)
+        if (pending.finished || pending.won || pending.seen || pending.stored || held)
             continue;
         pending.appended = true;
         m_appending_claims.push_back(request);
-        const ClaimWanted& want = pending.want;
-        batch.claims.push_back({pending.id, want.key, want.fingerprint, want.key_time});
+        const ClaimRequested& requested = pending.requested;
+        batch.claims.push_back(
+            {pending.id, requested.key, requested.fingerprint, requested.key_time});
     }
     return batch;
 }
@@ -323,7 +326,7 @@
 }
 
 bool
-Claimer::log_is_out(Micros now) const
+Claimer::log_unavailable(Micros now) const
 {
     return m_failing_since && now - *m_failing_since >= m_options.outage_wait_limit;
 }
--- a/src/libcypressford/claims_test.cpp
+++ b/src/libcypressford/claims_test.cpp
@@ -16,7 +16,7 @@
 constexpr WallMs kWall = 1'800'000'000'000;
 constexpr Micros kDeadline = 4 * kSecond;
 
-/// A log of claims with several daemons on it, all driven by hand.
+/// A claims log with two daemons, driven step by step.
 struct Bench {
     struct Maker {
         explicit Maker(std::uint64_t id)
@@ -45,20 +45,20 @@
                 maker.decisions.push_back(std::get<DecideClaim>(action));
         }
     }
-    void want(Maker& maker, RequestId request, const std::string& key,
-              std::uint64_t fingerprint = 7, WallMs key_time = kWall)
+    void request_claim(Maker& maker, RequestId request, const std::string& key,
+                       std::uint64_t fingerprint = 7, WallMs key_time = kWall)
     {
-        feed(maker, ClaimWanted {request, key, fingerprint, key_time, now + kDeadline});
+        feed(maker, ClaimRequested {request, key, fingerprint, key_time, now + kDeadline});
     }
-    /// Ends the oldest append: whether it takes effect, and whether that is told.
-    void end_append(Maker& maker, bool takes_effect, bool told)
+    /// Ends the oldest append: whether it takes effect, and whether it is acknowledged.
+    void end_append(Maker& maker, bool takes_effect, bool acknowledged)
     {
         REQUIRE_FALSE(maker.appends.empty());
         const ClaimBatch batch = maker.appends.front();
         maker.appends.erase(maker.appends.begin());
         if (takes_effect)
             log.push_back(*decode_claims(encode(batch)));
-        feed(maker, AppendEnded {told});
+        feed(maker, AppendEnded {acknowledged});
     }
     void read(Maker& maker)
     {
@@ -75,7 +75,7 @@
     }
     void claim(Maker& maker, RequestId request, const std::string& key)
     {
-        want(maker, request, key);
+        request_claim(maker, request, key);
         end_append(maker, true, true);
         read(maker);
     }
@@ -90,19 +90,20 @@
 
 } // namespace
 
-TEST_CASE("the first claim in the log wins, whoever reads first")
+TEST_CASE("the first claim in the log wins, whichever daemon reads first")
 {
     Bench bench;
-    bench.want(bench.a, 1, "k");
-    bench.want(bench.b, 2, "k");
+    bench.request_claim(bench.a, 1, "k");
+    bench.request_claim(bench.b, 2, "k");
     bench.end_append(bench.b, true, true);
     bench.end_append(bench.a, true, true);
     bench.read(bench.a);
     bench.read(bench.b);
     CHECK(bench.a.decisions.empty());
     CHECK(last(bench.b) == ClaimResult::Won);
-    // The loser gets the winner's outcome.
-    bench.feed(bench.b, ClaimOver {2, ClaimOutcome::Done, RecordedAnswer {"t", "printed"}});
+    // The losing daemon receives the winner's outcome.
+    bench.feed(bench.b,
+               ClaimRequestEnded {2, ClaimOutcome::Done, RecordedAnswer {"t", "printed"}});
     bench.pass(kSecond);
     bench.end_append(bench.b, true, true);
     bench.read(bench.a);
@@ -110,52 +111,53 @@
     CHECK(bench.a.decisions.back().answer->body == "printed");
 }
 
-TEST_CASE("an append whose answer was lost is found in the log")
+TEST_CASE("a claim whose append was not acknowledged is found in the log")
 {
     Bench bench;
-    bench.want(bench.a, 1, "k");
+    bench.request_claim(bench.a, 1, "k");
     bench.end_append(bench.a, true, false);
     bench.read(bench.a);
     CHECK(last(bench.a) == ClaimResult::Won);
 }
 
-TEST_CASE("a claim that was abandoned can't win later, though its append lands late")
+TEST_CASE("an abandoned claim can't win later, although its append takes effect late")
 {
     Bench bench;
-    bench.want(bench.a, 1, "k");
-    const ClaimBatch ghost = bench.a.appends.front();
+    bench.request_claim(bench.a, 1, "k");
+    const ClaimBatch late_append = bench.a.appends.front();
     bench.end_append(bench.a, false, false);
     bench.pass(kDeadline);
     CHECK(last(bench.a) == ClaimResult::Unavailable);
     bench.end_append(bench.a, true, true); // the release
-    bench.log.push_back(ghost);
+    bench.log.push_back(late_append);
     bench.read(bench.b);
     bench.claim(bench.b, 2, "k");
     CHECK(last(bench.b) == ClaimResult::Won);
 }
 
-TEST_CASE("a key in the log with no outcome is answered at the deadline, never run")
+TEST_CASE("a claimed key without an outcome is answered at the deadline, never run again")
 {
     Bench bench;
     bench.claim(bench.a, 1, "k");
     bench.read(bench.b);
-    bench.want(bench.b, 2, "k");
+    bench.request_claim(bench.b, 2, "k");
     CHECK(bench.b.appends.empty());
     bench.pass(kDeadline);
     CHECK(last(bench.b) == ClaimResult::InProgress);
-    bench.want(bench.b, 3, "k", 8);
+    bench.request_claim(bench.b, 3, "k", 8);
     CHECK(last(bench.b) == ClaimResult::Mismatch);
-    bench.feed(bench.a, ClaimOver {1, ClaimOutcome::Unknown, std::nullopt});
+    bench.feed(bench.a, ClaimRequestEnded {1, ClaimOutcome::Unknown, std::nullopt});
     bench.end_append(bench.a, true, true);
     bench.read(bench.b);
-    bench.want(bench.b, 4, "k");
+    bench.request_claim(bench.b, 4, "k");
     CHECK(last(bench.b) == ClaimResult::Unknown);
 }
 
-TEST_CASE("while the log is out claims fail at once, and work again after it")
+TEST_CASE(
+    "claims fail at once while the log is unavailable, and succeed after its recovery")
 {
     Bench bench;
-    bench.want(bench.a, 1, "k");
+    bench.request_claim(bench.a, 1, "k");
     bench.end_append(bench.a, false, false);
     for (int i = 0; i < 8; ++i) {
         bench.pass(200 * kMillisecond);
@@ -164,7 +166,7 @@
     }
     CHECK(last(bench.a) == ClaimResult::Unavailable);
     const std::size_t before = bench.a.decisions.size();
-    bench.want(bench.a, 2, "l");
+    bench.request_claim(bench.a, 2, "l");
     CHECK(bench.a.decisions.size() == before + 1);
     CHECK(last(bench.a) == ClaimResult::Unavailable);
     bench.pass(kSecond);
@@ -177,31 +179,31 @@
 {
     Bench bench;
     bench.claim(bench.a, 1, "k");
-    bench.feed(bench.a, ClaimOver {1, ClaimOutcome::Done, std::nullopt});
+    bench.feed(bench.a, ClaimRequestEnded {1, ClaimOutcome::Done, std::nullopt});
     bench.pass(kSecond);
     bench.end_append(bench.a, true, true);
-    // The log drops everything; a fresh daemon can't tell whether "k" ran.
+    // The log drops all records; a fresh daemon can't determine whether "k" ran.
     bench.first = Offset(bench.log.size());
     bench.read(bench.b);
-    bench.want(bench.b, 2, "k");
+    bench.request_claim(bench.b, 2, "k");
     CHECK(last(bench.b) == ClaimResult::Expired);
-    // Keys made well after that can't be among the dropped ones.
+    // Keys created well after that can't be among the dropped ones.
     bench.now += 60 * kSecond;
-    bench.want(bench.b, 3, "l", 7, kWall + 60'000);
+    bench.request_claim(bench.b, 3, "l", 7, kWall + 60'000);
     bench.end_append(bench.b, true, true);
     bench.read(bench.b);
     CHECK(last(bench.b) == ClaimResult::Won);
-    bench.want(bench.b, 4, "k2");
+    bench.request_claim(bench.b, 4, "k2");
     CHECK(last(bench.b) == ClaimResult::Expired);
 }
 
-TEST_CASE("a claimer is idle though the log dropped its last record unread")
+TEST_CASE("a claimer becomes idle although the log dropped its last record unread")
 {
-    // Found by fuzzing: the record of an outcome was appended, then dropped by
-    // the log before its maker had read it.
+    // The record of an outcome was appended, then dropped by the log before the
+    // daemon that made it had read it.
     Bench bench;
     bench.claim(bench.a, 1, "k");
-    bench.feed(bench.a, ClaimOver {1, ClaimOutcome::Done, std::nullopt});
+    bench.feed(bench.a, ClaimRequestEnded {1, ClaimOutcome::Done, std::nullopt});
     bench.end_append(bench.a, true, true);
     bench.first = Offset(bench.log.size());
     bench.read(bench.a);
@@ -209,12 +211,13 @@
     CHECK(bench.a.claimer.idle());
 }
 
-TEST_CASE("claims go on while answers of the log are lost but records can be read")
+TEST_CASE(
+    "claims are decided while append acknowledgements are lost but records are readable")
 {
     Bench bench;
     for (RequestId request = 1; request <= 20; ++request) {
         bench.pass(200 * kMillisecond);
-        bench.want(bench.a, request, "k" + std::to_string(request));
+        bench.request_claim(bench.a, request, "k" + std::to_string(request));
         bench.pass(0);
         if (!bench.a.appends.empty())
             bench.end_append(bench.a, true, false);
--- a/src/libcypressford/codec.cpp
+++ b/src/libcypressford/codec.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 void
-put(const ClaimId& id, proto::ClaimId& out)
+write(const ClaimId& id, proto::ClaimId& out)
 {
     out.set_maker(id.maker);
     out.set_number(id.number);
 }
 
 ClaimId
-take(const proto::ClaimId& in)
+read_id(const proto::ClaimId& in)
 {
     return {in.maker(), in.number()};
 }
@@ -41,14 +41,14 @@
     out.set_seen(batch.seen);
     for (const ClaimMade& claim : batch.claims) {
         auto* item = out.add_claims();
-        put(claim.id, *item->mutable_id());
+        write(claim.id, *item->mutable_id());
         item->set_key(claim.key);
         item->set_fingerprint(claim.fingerprint);
         item->set_key_time_ms(claim.key_time);
     }
     for (const ClaimEnded& end : batch.ends) {
         auto* item = out.add_ends();
-        put(end.id, *item->mutable_id());
+        write(end.id, *item->mutable_id());
         item->set_key(end.key);
         item->set_key_time_ms(end.key_time);
         item->set_outcome(static_cast<int>(end.outcome));
@@ -73,12 +73,12 @@
     batch.seen = in.seen();
     for (const auto& item : in.claims())
         batch.claims.push_back(
-            {take(item.id()), item.key(), item.fingerprint(), item.key_time_ms()});
+            {read_id(item.id()), item.key(), item.fingerprint(), item.key_time_ms()});
     for (const auto& item : in.ends()) {
         const auto outcome = outcome_from(item.outcome());
         if (!outcome)
             return std::nullopt;
-        ClaimEnded end {take(item.id()), item.key(), item.key_time_ms(), *outcome,
+        ClaimEnded end {read_id(item.id()), item.key(), item.key_time_ms(), *outcome,
                         std::nullopt};
         if (item.has_answer())
             end.answer = RecordedAnswer {item.content_type(), item.body()};
--- a/src/libcypressford/lease.cpp
+++ b/src/libcypressford/lease.cpp
@@ -12,8 +12,8 @@
 
 namespace cypressford {
 
-/// A record counts if it replaces the one in force.  After a gap that one is not
-/// known, but a record that somebody built on was in force.
+/// A record takes effect if it replaces the one in force.  After a gap that one is
+/// unknown, but a record that a later record replaces was in force.
 bool
 Lease::counts(Offset offset, const LeaseRecord& record) const
 {
@@ -22,7 +22,8 @@
     if (m_known)
         return record.replaces == m_latest;
     return record.replaces == -1
-        || std::find(m_met.begin(), m_met.end(), record.replaces) != m_met.end();
+        || std::find(m_seen_since_gap.begin(), m_seen_since_gap.end(), record.replaces)
+        != m_seen_since_gap.end();
 }
 
 void
@@ -30,14 +31,14 @@
 {
     if (record.name != m_name)
         return;
-    m_heard_at = now;
+    m_last_record_at = now;
     if (!counts(offset, record)) {
-        m_met.push_back(offset);
+        m_seen_since_gap.push_back(offset);
         return;
     }
     const bool renews = m_known && record.holder == m_holder && !record.release;
     m_known = true;
-    m_met.clear();
+    m_seen_since_gap.clear();
     m_latest = offset;
     m_holder = record.release ? 0 : record.holder;
     if (!renews)
@@ -45,46 +46,47 @@
     const bool ours = m_holder == m_self;
     m_valid_until = ours ? earliest_append() + m_options.duration - m_options.margin : 0;
     if (ours)
-        m_in_doubt.reset();
+        m_unconfirmed_append_at.reset();
 }
 
-/// Our tenure counts from before the earliest append that may have made it.
+/// A tenure counts from before the earliest append that may have started it.
 Micros
 Lease::earliest_append() const
 {
-    const Micros running = m_append_began.value_or(std::numeric_limits<Micros>::max());
-    const Micros earlier = m_in_doubt.value_or(running);
-    const Micros began = std::min(running, earlier);
-    return began == std::numeric_limits<Micros>::max() ? 0 : began;
+    const Micros running = m_append_started_at.value_or(std::numeric_limits<Micros>::max());
+    const Micros earlier = m_unconfirmed_append_at.value_or(running);
+    const Micros started_at = std::min(running, earlier);
+    return started_at == std::numeric_limits<Micros>::max() ? 0 : started_at;
 }
 
 void
-Lease::note_gap(Micros now)
+Lease::on_gap(Micros now)
 {
     m_known = false;
-    m_met.clear();
+    m_seen_since_gap.clear();
     m_latest = -1;
     m_holder = 0;
     m_valid_until = 0;
-    m_heard_at = now;
+    m_last_record_at = now;
 }
 
 std::optional<LeaseRecord>
 Lease::next_append(bool wanted, Micros now)
 {
-    if (m_append_began || now < m_next_try)
+    if (m_append_started_at || now < m_next_try)
         return std::nullopt;
     const bool ours = m_known && m_holder == m_self;
     if (!wanted && !ours)
         return std::nullopt;
     const bool free = m_known && m_holder == 0;
-    const bool silent = m_heard_at && now - *m_heard_at >= m_options.duration;
-    if (!ours && !free && !silent)
+    const bool unresponsive
+        = m_last_record_at && now - *m_last_record_at >= m_options.duration;
+    if (!ours && !free && !unresponsive)
         return std::nullopt;
-    m_append_began = now;
-    m_next_try = now + m_options.renew_every;
+    m_append_started_at = now;
+    m_next_try = now + m_options.renew_interval;
     const bool release = ours && !wanted;
-    // From here on another one may take it before this daemon reads of that.
+    // From here on another daemon may take the lease before this one reads its own release.
     if (release)
         m_valid_until = 0;
     return LeaseRecord {m_name, m_self, m_latest, release};
@@ -93,9 +95,9 @@
 void
 Lease::append_ended()
 {
-    // Whether it took effect is seen in the log.
-    m_in_doubt = earliest_append();
-    m_append_began.reset();
+    // The log shows whether the append took effect.
+    m_unconfirmed_append_at = earliest_append();
+    m_append_started_at.reset();
 }
 
 bool
--- a/src/libcypressford/lease_test.cpp
+++ b/src/libcypressford/lease_test.cpp
@@ -13,7 +13,7 @@
 
 const LeaseOptions kOptions {};
 
-/// A stream of leases that its daemons read at once.
+/// A leases stream whose records can be read as soon as they are appended.
 struct Stream {
     std::vector<LeaseRecord> records;
 
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("of two that take a free lease the first in the log holds it")
+TEST_CASE("if two daemons take a free lease, the first one in the log holds it")
 {
     Stream stream;
     Lease a("h", 1, kOptions);
@@ -46,8 +46,7 @@
     CHECK_FALSE(a.next_append(true, 10 * kSecond));
 }
 
-TEST_CASE(
-    "a holder that slept finds out before it acts, and its successor has a higher fence")
+TEST_CASE("a suspended holder's lease expires, and its successor has a higher fence")
 {
     Stream stream;
     Lease a("h", 1, kOptions);
@@ -64,7 +63,7 @@
     stream.read(b, 1, 15 * kSecond);
     CHECK(b.held(16 * kSecond));
     CHECK(b.fence() > a.fence());
-    // The sleeper's renewal comes too late in the log and counts for nobody.
+    // The suspended daemon's renewal comes too late in the log and has no effect.
     stream.append(*a.next_append(true, 16 * kSecond));
     a.append_ended();
     stream.read(a, 1, 16 * kSecond);
@@ -73,7 +72,7 @@
     CHECK(b.held(16 * kSecond));
 }
 
-TEST_CASE("a lease that is given back is free at once")
+TEST_CASE("a released lease is free at once")
 {
     Stream stream;
     Lease a("h", 1, kOptions);
@@ -89,14 +88,14 @@
     CHECK(b.next_append(true, 6 * kSecond).has_value());
 }
 
-TEST_CASE("after a gap a record counts only if another was built on it")
+TEST_CASE("after a gap a record takes effect only if another record replaced it")
 {
-    // 0: a takes it.  1: b tries as well, and lost.  2, 3: a renews.
+    // 0: a takes the lease.  1: b tries as well, without effect.  2, 3: a renews.
     Stream stream;
     stream.records = {
         {"h", 1, -1, false}, {"h", 2, -1, false}, {"h", 1, 0, false}, {"h", 1, 2, false}};
     Lease late("h", 3, kOptions);
-    late.note_gap(0);
+    late.on_gap(0);
     late.apply(1, {"h", 2, 0, false}, kSecond);
     CHECK_FALSE(late.next_append(true, 2 * kSecond));
     late.apply(2, stream.records[2], 2 * kSecond);
@@ -106,34 +105,34 @@
     CHECK(takeover->replaces == 3);
 }
 
-TEST_CASE("never two holders at a time, whatever is lost, late or asleep")
+TEST_CASE("never two holders at a time, with lost and late appends and suspended daemons")
 {
     for (unsigned seed = 0; seed < 200; ++seed) {
         std::mt19937 random(seed);
         Stream stream;
         std::vector<Lease> daemons;
         std::vector<std::size_t> read(3, 0);
-        std::vector<Micros> asleep_until(3, 0);
-        std::vector<std::pair<Micros, LeaseRecord>> flying;
+        std::vector<Micros> suspended_until(3, 0);
+        std::vector<std::pair<Micros, LeaseRecord>> in_flight;
         for (std::uint64_t id = 1; id <= 3; ++id)
             daemons.emplace_back("h", id, kOptions);
         Offset highest_fence = -1;
         for (Micros now = 0; now < 300 * kSecond; now += 500 * kMillisecond) {
-            for (std::size_t f = 0; f < flying.size();) {
-                if (flying[f].first > now) {
+            for (std::size_t f = 0; f < in_flight.size();) {
+                if (in_flight[f].first > now) {
                     ++f;
                     continue;
                 }
-                stream.append(flying[f].second);
-                flying.erase(flying.begin() + static_cast<std::ptrdiff_t>(f));
+                stream.append(in_flight[f].second);
+                in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(f));
             }
             int holders = 0;
             for (std::size_t d = 0; d < daemons.size(); ++d) {
                 holders += daemons[d].held(now);
-                if (now < asleep_until[d])
+                if (now < suspended_until[d])
                     continue;
                 if (random() % 60 == 0) {
-                    asleep_until[d] = now + Micros(random() % 40) * kSecond;
+                    suspended_until[d] = now + Micros(random() % 40) * kSecond;
                     continue;
                 }
                 if (random() % 3 != 0) {
@@ -143,9 +142,10 @@
                 const auto record = daemons[d].next_append(random() % 20 != 0, now);
                 if (!record)
                     continue;
-                // It lands at once, late, or never; its daemon is not told.
+                // The append takes effect at once, late, or never; its daemon isn't
+                // notified.
                 if (random() % 4 != 0)
-                    flying.emplace_back(now + Micros(random() % 8) * kSecond, *record);
+                    in_flight.emplace_back(now + Micros(random() % 8) * kSecond, *record);
                 daemons[d].append_ended();
             }
             CAPTURE(seed);
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -162,7 +162,7 @@
 Worker::act(const BeginClaim& action)
 {
     const ContextPtr context = m_contexts.at(action.request);
-    ClaimWanted wanted;
+    ClaimRequested wanted;
     wanted.request = action.request;
     wanted.key = context->account + "/" + context->key;
     wanted.fingerprint = fast_hash(context->pipeline + "\n" + context->body);
@@ -190,7 +190,7 @@
 Worker::act(const EndClaim& action)
 {
     const ContextPtr context = m_contexts.at(action.request);
-    ClaimOver over {action.request, action.outcome, std::nullopt};
+    ClaimRequestEnded over {action.request, action.outcome, std::nullopt};
     if (action.outcome == ClaimOutcome::Done)
         over.answer = RecordedAnswer {
             "application/json",
--- a/src/libserve/hall/claim_service.cpp
+++ b/src/libserve/hall/claim_service.cpp
@@ -47,7 +47,7 @@
 }
 
 void
-ClaimService::want(ClaimWanted wanted, Decided decided)
+ClaimService::want(ClaimRequested wanted, Decided decided)
 {
     asio::post(m_io,
                [this, wanted = std::move(wanted), decided = std::move(decided)]() mutable {
@@ -57,7 +57,7 @@
 }
 
 void
-ClaimService::over(ClaimOver over)
+ClaimService::over(ClaimRequestEnded over)
 {
     asio::post(m_io, [this, over = std::move(over)] {
         handle(over);
@@ -89,7 +89,7 @@
     ClaimActions actions;
     const Micros now = monotonic_us();
     m_claimer.handle(event, {now, wall_ms()}, actions);
-    m_kernel.log_out.store(m_claimer.log_is_out(now));
+    m_kernel.log_out.store(m_claimer.log_unavailable(now));
     for (ClaimAction& action : actions) {
         if (auto* start = std::get_if<StartAppend>(&action)) {
             asio::co_spawn(m_io, append(std::move(start->batch)), asio::detached);
--- a/src/libserve/hall/claim_service.h
+++ b/src/libserve/hall/claim_service.h
@@ -30,8 +30,8 @@
     void start();
 
     /// `decided` is called on the control thread.
-    void want(ClaimWanted wanted, Decided decided);
-    void over(ClaimOver over);
+    void want(ClaimRequested wanted, Decided decided);
+    void over(ClaimRequestEnded over);
 
     /// True if the log holds a claim for the key that was not released.
     boost::asio::awaitable<bool> is_claimed(std::string key);
--- a/src/libserve/hall/placement_service.cpp
+++ b/src/libserve/hall/placement_service.cpp
@@ -102,11 +102,11 @@
         if (m_next < 0) {
             m_next = std::max(page->first, page->next - kLookBack);
             if (m_next > 0)
-                m_lease.note_gap(monotonic_us());
+                m_lease.on_gap(monotonic_us());
             continue;
         }
         if (page->from > m_next)
-            m_lease.note_gap(monotonic_us());
+            m_lease.on_gap(monotonic_us());
         m_next = page->from;
         for (const std::string& text : page->records) {
             if (const auto record = decode_lease(text))
--- a/src/libserve/settings.cpp
+++ b/src/libserve/settings.cpp
@@ -184,7 +184,7 @@
 read_claims(YamlMapReader& reader, Settings& settings)
 {
     ClaimOptions& options = settings.claims;
-    read_ms(reader, "append_gap_ms", options.min_append_gap);
+    read_ms(reader, "append_gap_ms", options.min_append_interval);
     read_range(reader, "append_burst", 1, 100, options.append_burst);
     read_range<std::size_t>(reader, "max_keys", 100, 10'000'000, options.max_keys);
     reader.refuse_renamed("outage_patience_ms", "outage_wait_limit_ms");
@@ -206,10 +206,10 @@
 {
     LeaseOptions& lease = settings.lease;
     read_ms(reader, "lease_ms", lease.duration);
-    read_ms(reader, "renew_ms", lease.renew_every);
+    read_ms(reader, "renew_ms", lease.renew_interval);
     read_ms(reader, "margin_ms", lease.margin);
     read_range(reader, "orders_per_s", 0.01, 1000.0, settings.orders_per_s);
-    if (lease.margin + 2 * lease.renew_every > lease.duration)
+    if (lease.margin + 2 * lease.renew_interval > lease.duration)
         reader.add(reader.child("lease_ms"),
                    "lease_ms must be above margin_ms + 2 * renew_ms");
 }
--- a/testsuite/fuzz/world_daemons.cpp
+++ b/testsuite/fuzz/world_daemons.cpp
@@ -76,7 +76,7 @@
 World::act(Daemon& daemon, const BeginClaim& action)
 {
     const CallFacts& facts = m_facts.at(action.request);
-    ClaimWanted wanted;
+    ClaimRequested wanted;
     wanted.request = action.request;
     wanted.key = facts.key;
     wanted.fingerprint = fast_hash(facts.body);
@@ -91,7 +91,7 @@
 void
 World::act(Daemon& daemon, const EndClaim& action)
 {
-    ClaimOver over {action.request, action.outcome, std::nullopt};
+    ClaimRequestEnded over {action.request, action.outcome, std::nullopt};
     if (action.outcome == ClaimOutcome::Done)
         over.answer = RecordedAnswer {"text", daemon.requests.at(action.request).input};
     deliver(daemon.index, daemon.incarnation, kMillisecond,
