--- a/src/libcypressford/member_changes_test.cpp
+++ b/src/libcypressford/member_changes_test.cpp
@@ -35,7 +35,7 @@
     return record;
 }
 
-/// Upstreams of each set and side by identity and run, in their order.
+/// Upstreams of each set, local ones before remote ones, as identity@run, in their order.
 std::vector<std::string>
 contents_of(const Snapshot& snapshot)
 {
@@ -51,7 +51,7 @@
     return result;
 }
 
-TEST_CASE("a snapshot that is updated holds what one that is built anew holds")
+TEST_CASE("an updated snapshot has the same contents as one that is built anew")
 {
     constexpr int identities = 40;
     const Bundle bundle = two_sets();
@@ -59,7 +59,7 @@
     const auto draw = [&](int below) {
         return std::uniform_int_distribution<int>(0, below - 1)(random);
     };
-    for (int play = 0; play < 50; ++play) {
+    for (int run = 0; run < 50; ++run) {
         DirectoryFold fold(kSecond);
         UpstreamTable updated("a");
         UpstreamTable built("a");
@@ -80,7 +80,7 @@
                 fold.apply(record, now);
             fold.expire(now);
             if (draw(3) == 0)
-                continue; // several changes at once
+                continue; // collects several changes in one update
             snapshot = updated.update(*snapshot, resolved, fold.take_changes());
             REQUIRE(snapshot);
             CHECK(contents_of(*snapshot)
@@ -89,7 +89,7 @@
     }
 }
 
-TEST_CASE("an upstream that is listed no more gets nothing under older snapshots")
+TEST_CASE("an upstream that is no longer listed receives nothing under older snapshots")
 {
     DirectoryFold fold(kSecond);
     UpstreamTable table("a");
@@ -109,7 +109,7 @@
     CHECK(after->sets[0].own[0]->identity == "2");
 }
 
-TEST_CASE("a bundle with other sets needs a snapshot that is built anew")
+TEST_CASE("a bundle with other sets requires a snapshot that is built anew")
 {
     UpstreamTable table("a");
     const SnapshotPtr before = table.build(table.resolve(two_sets()), {});
@@ -130,7 +130,7 @@
     SnapshotPtr snapshot = table.build(resolved, fold.members());
     CHECK(fold.take_changes().size() == upstreams);
     CHECK(fold.take_changes().empty());
-    // Signs of life are no changes.
+    // Keepalives are not changes.
     fold.apply(record_of("77", 2), 0);
     CHECK(fold.take_changes().empty());
     UpstreamRecord leaving = record_of("77", 3);
--- a/src/libcypressford/membership.cpp
+++ b/src/libcypressford/membership.cpp
@@ -15,7 +15,7 @@
     const Micros gap = m_last_beat < 0 ? 0 : now - m_last_beat;
     if (gap > m_options.suspect_after)
         for (auto& [address, member] : m_members)
-            member.heard_at += gap;
+            member.received_at += gap;
     m_last_beat = now;
     ++m_self.heartbeat;
 }
@@ -36,12 +36,13 @@
     const bool was_stopping = grows && member.info.stopping;
     member.info = info;
     member.info.stopping = info.stopping || was_stopping;
-    member.heard_at = now;
+    member.received_at = now;
     m_by_id[id_of(info)] = info.address;
 }
 
 bool
-Membership::hear_beat(std::uint64_t id, std::uint64_t heartbeat, bool stopping, Micros now)
+Membership::on_keepalive(std::uint64_t id, std::uint64_t heartbeat, bool stopping,
+                         Micros now)
 {
     if (id == id_of(m_self))
         return true;
@@ -50,7 +51,7 @@
         return false;
     const Member& member = m_members.at(it->second);
     if (id_of(member.info) != id)
-        return true; // of a process that another one has replaced
+        return true; // keepalive of a process that has been replaced
     MemberInfo info = member.info;
     info.heartbeat = heartbeat;
     info.stopping = stopping;
@@ -67,10 +68,11 @@
 MemberState
 Membership::state_of(const Member& member, Micros now) const
 {
-    const Micros silent = now - member.heard_at;
-    if (silent < m_options.suspect_after)
+    const Micros since_heartbeat = now - member.received_at;
+    if (since_heartbeat < m_options.suspect_after)
         return MemberState::Alive;
-    return silent < m_options.dead_after ? MemberState::Suspect : MemberState::Dead;
+    return since_heartbeat < m_options.dead_after ? MemberState::Suspect
+                                                  : MemberState::Dead;
 }
 
 MemberState
@@ -91,7 +93,7 @@
 }
 
 int
-Membership::serving(Micros now) const
+Membership::serving_count(Micros now) const
 {
     const auto serves = [&](const auto& entry) {
         return state_of(entry.second, now) == MemberState::Alive
@@ -120,7 +122,7 @@
 {
     std::vector<MemberInfo> result {m_self};
     for (const auto& [address, member] : m_members)
-        if (now - member.heard_at < m_options.forget_after
+        if (now - member.received_at < m_options.forget_after
             && state_of(member, now) != MemberState::Dead)
             result.push_back(member.info);
     return result;
--- a/src/libcypressford/membership_test.cpp
+++ b/src/libcypressford/membership_test.cpp
@@ -20,26 +20,27 @@
 
 } // namespace
 
-TEST_CASE("a silent member is suspected before it is taken for dead, and may come back")
+TEST_CASE(
+    "an unresponsive member is suspected before it is considered dead, and may recover")
 {
     Membership view(info("a", 0), kOptions);
     view.beat(0);
     view.hear(info("b", 5), 0);
     CHECK(view.state("b", 2 * kSecond) == MemberState::Alive);
     CHECK(view.state("b", 4 * kSecond) == MemberState::Suspect);
-    CHECK(view.serving(4 * kSecond) == 1);
+    CHECK(view.serving_count(4 * kSecond) == 1);
     CHECK(view.others(4 * kSecond).size() == 1);
-    // An old heartbeat that another passes on is no sign of life.
+    // An old heartbeat that a peer passes on is not a keepalive.
     view.hear(info("b", 5), 5 * kSecond);
     CHECK(view.state("b", 5 * kSecond) == MemberState::Suspect);
-    // It was only paused.
+    // The member was only suspended.
     view.hear(info("b", 6), 8 * kSecond);
     CHECK(view.state("b", 8 * kSecond) == MemberState::Alive);
     CHECK(view.state("b", 24 * kSecond) == MemberState::Dead);
     CHECK(view.others(24 * kSecond).empty());
 }
 
-TEST_CASE("a process that was paused itself does not take the others for dead")
+TEST_CASE("a process that was suspended itself does not consider the others dead")
 {
     Membership view(info("a", 0), kOptions);
     view.beat(0);
@@ -49,7 +50,7 @@
     CHECK(view.state("b", 61 * kSecond) == MemberState::Alive);
 }
 
-TEST_CASE("a later process replaces an earlier one, never the other way round")
+TEST_CASE("a later process replaces an earlier one, never the reverse")
 {
     Membership view(info("a", 0), kOptions);
     view.beat(0);
@@ -60,24 +61,25 @@
     CHECK(view.state("b", kSecond + 3 * kSecond) == MemberState::Suspect);
 }
 
-TEST_CASE("a short sign of life counts for the process that it names")
+TEST_CASE("a keepalive applies only to the process that it names")
 {
     Membership view(info("a", 0), kOptions);
     view.beat(0);
     const MemberInfo first = info("b", 1, 1, 100);
-    CHECK_FALSE(view.hear_beat(Membership::id_of(first), 2, false, 0));
+    CHECK_FALSE(view.on_keepalive(Membership::id_of(first), 2, false, 0));
     view.hear(first, 0);
-    CHECK(view.hear_beat(Membership::id_of(first), 2, true, 2 * kSecond));
+    CHECK(view.on_keepalive(Membership::id_of(first), 2, true, 2 * kSecond));
     CHECK(view.state("b", 4 * kSecond) == MemberState::Alive);
-    CHECK(view.serving(4 * kSecond) == 1);
+    CHECK(view.serving_count(4 * kSecond) == 1);
     view.hear(info("b", 1, 2, 200), 4 * kSecond);
-    CHECK(view.serving(4 * kSecond) == 2);
-    // The old process's last words change nothing.
-    CHECK(view.hear_beat(Membership::id_of(first), 9, true, 5 * kSecond));
-    CHECK(view.serving(5 * kSecond) == 2);
+    CHECK(view.serving_count(4 * kSecond) == 2);
+    // Late keepalives of the replaced process change nothing.
+    CHECK(view.on_keepalive(Membership::id_of(first), 9, true, 5 * kSecond));
+    CHECK(view.serving_count(5 * kSecond) == 2);
 }
 
-TEST_CASE("each task has its daemons, and another one when they are gone")
+TEST_CASE(
+    "exactly one daemon is chosen for a task, and another one if it becomes unresponsive")
 {
     std::vector<Membership> views;
     const std::vector<std::string> names {"a", "b", "c", "d", "e"};
@@ -97,8 +99,8 @@
                 first = i;
             }
         CHECK(chosen == 1);
-        // The chosen one falls silent; exactly one other takes over.
-        int heirs = 0;
+        // The chosen daemon becomes unresponsive; exactly one other daemon takes over.
+        int successors = 0;
         for (std::size_t i = 0; i < views.size(); ++i) {
             if (i == first)
                 continue;
@@ -107,9 +109,9 @@
             for (const auto& other : names)
                 if (other != names[first])
                     later.hear(info(other, 2), 4 * kSecond);
-            heirs += later.is_chosen(name, 1, 4 * kSecond);
+            successors += later.is_chosen(name, 1, 4 * kSecond);
         }
-        CHECK(heirs == 1);
+        CHECK(successors == 1);
     }
 }
 
--- a/src/libserve/hall/hall_service.cpp
+++ b/src/libserve/hall/hall_service.cpp
@@ -151,7 +151,7 @@
 {
     const Micros now = monotonic_us();
     m_membership.beat(now);
-    m_kernel.daemons_in_hall.store(m_membership.serving(now));
+    m_kernel.daemons_in_hall.store(m_membership.serving_count(now));
     m_bundles.set_reader(m_membership.is_chosen("bundles", kReaders, now));
     update_shares(now);
     m_watch.spread_marks();
@@ -288,7 +288,8 @@
     else if (!is_answer && state.bundle_next() > m_bundles.fold().next())
         exchange_with(state.address());
     for (const proto::Beat& beat : state.beats())
-        if (!m_membership.hear_beat(beat.member(), beat.heartbeat(), beat.stopping(), now))
+        if (!m_membership.on_keepalive(beat.member(), beat.heartbeat(), beat.stopping(),
+                                       now))
             m_wants_members = true;
     for (const proto::UpstreamReport& report : state.reports())
         m_watch.observe(
