--- a/src/include/cypressford/error.h
+++ b/src/include/cypressford/error.h
@@ -3,8 +3,8 @@
 
 /// \file
 /// The closed list of error kinds and the one table that says how each is
-/// answered.  Every refusal a caller sees is a row of this table, so what the
-/// system promises ("not run", "come back in 2 s") is decided in one place.
+/// answered.  Every refusal that a caller receives is a row of this table, so the
+/// statements made to callers ("not run", "retry after 2 s") are defined in one place.
 
 #pragma once
 
@@ -17,32 +17,32 @@
 
 namespace cypressford {
 
-/// Every way in which a request can end other than with its whole answer.
+/// Every way in which a request can end other than with a complete answer.
 enum class ErrorKind : unsigned char {
     BadRequest, ///< malformed header, body or parameter
     Unauthorized, ///< no or unknown credential
     Forbidden, ///< credential is known but may not do this
     NotFound, ///< no such pipeline or path
-    TooLarge, ///< header or body over its bound
+    TooLarge, ///< header or body exceeds its limit
     SlowRequest, ///< the caller did not send its request in time
-    TooManyConnections, ///< the daemon's bound on connections is reached
+    TooManyConnections, ///< the daemon's connection limit is reached
     NotReady, ///< the daemon has no bundle in force yet
     Stopping, ///< the daemon is in a planned stop
-    AccountLimit, ///< the client account is over its share
-    DeadlineUnreachable, ///< refused before anything was sent: it would be late
+    AccountLimit, ///< the client account has used up its share
+    DeadlineUnreachable, ///< refused before sending: the answer would be late
     QueueFull, ///< the bounded queue is full
     NoUpstream, ///< no usable upstream for a stage
-    Resting, ///< the upstreams of a stage have asked this daemon for rest
-    Quarantined, ///< upstreams ended each time they ran this request
-    NoAllowedHall, ///< none in the regions that the pipeline and the account allow
+    Resting, ///< the upstreams of a stage have requested backoff from this daemon
+    Quarantined, ///< upstreams terminated each time they ran this request
+    NoAllowedHall, ///< no hall in the regions that the pipeline and the account allow
     UpstreamFailed, ///< upstreams failed and the retry budget is exhausted
-    UpstreamRejected, ///< an upstream finds the request itself wrong
+    UpstreamRejected, ///< an upstream rejected the request itself as invalid
     DeadlineExceeded, ///< the deadline passed after something was sent
     KeyRequired, ///< non-repeatable pipeline called without a key
-    KeyInvalid, ///< the key is no UUIDv7 or lies in the future
-    KeyExpired, ///< the key is older than what the log still proves
+    KeyInvalid, ///< the key is not a UUIDv7 or its time lies in the future
+    KeyExpired, ///< the key is older than the records that the log still holds
     KeyMismatch, ///< the key was used before with another request
-    KeyInProgress, ///< another attempt holds the claim, no outcome yet
+    KeyInProgress, ///< another attempt holds the claim and has no outcome yet
     ClaimUnavailable, ///< the log could not record the claim in time
     OutcomeUnknown, ///< the one permitted run may or may not have happened
     TokenInvalid, ///< resume token is forged, damaged or of another version
@@ -50,7 +50,7 @@
     TokenForeign, ///< resume token belongs to another client account
     SessionLost, ///< the stream can't be continued exactly where it stopped
     CallerGone, ///< the caller closed its connection
-    Internal, ///< a fault of this program
+    Internal, ///< an internal error of the daemon
 };
 
 /// Number of kinds; the table has exactly this many rows.
@@ -59,16 +59,16 @@
 
 /// What a caller may conclude about the effects of its request.
 enum class Ran : unsigned char {
-    NotRun, ///< nothing was sent to any upstream that may have run
+    NotRun, ///< nothing was sent to an upstream that may have run it
     Ran, ///< it ran
     Unknown, ///< it may have run
 };
 
-/// What the caller should do next.
+/// The action that the caller should take next.
 enum class RetryAdvice : unsigned char {
     No, ///< the same request will fail again
     Later, ///< the same request, after the time in Retry-After
-    SameKey, ///< ask again with the same Idempotency-Key to learn the outcome
+    SameKey, ///< retry with the same Idempotency-Key to obtain the outcome
 };
 
 /// One row of the table: how a kind is answered.
@@ -79,7 +79,7 @@
     int grpc_code; ///< numeric grpc::StatusCode
     Ran ran; ///< the strongest statement this kind alone allows
     RetryAdvice retry;
-    std::string_view title; ///< one sentence for a person
+    std::string_view title; ///< one sentence for human readers
 };
 
 /// The whole table, in the order of ErrorKind.
@@ -88,17 +88,17 @@
 /// The row of one kind.
 const ErrorRow& error_row(ErrorKind kind);
 
-/// Names as they stand in answers.
+/// Names as they appear in answers.
 std::string_view to_string(Ran ran);
 std::string_view to_string(RetryAdvice advice);
 
-/// An error with its detail for a person.
+/// An error with a detail text for human readers.
 struct Error {
     ErrorKind kind = ErrorKind::Internal;
     std::string detail;
 };
 
-/// One fault in a text that a person wrote.
+/// One fault in a text written by a person.
 struct Fault {
     int line = 0; ///< 1-based; 0 if the fault has no line
     std::string message;
--- a/src/include/cypressford/path_index.h
+++ b/src/include/cypressford/path_index.h
@@ -23,13 +23,14 @@
 public:
     void add(const std::string& path_prefix, std::size_t pipeline, double weight);
 
-    /// Of all prefixes that the path begins with the longest; null: there is none.
+    /// The match of the longest prefix of the path; null if no prefix matches.
     const PathMatch* find(std::string_view path) const;
 
 private:
     using ByPrefix = std::map<std::string, PathMatch, std::less<>>;
 
-    /// A configuration has thousands of prefixes but few lengths of them.
+    /// By length of the prefix: a configuration has thousands of prefixes but few
+    /// different lengths.
     std::map<std::size_t, ByPrefix, std::greater<>> m_by_length;
 };
 
--- a/src/include/cypressford/request_digest.h
+++ b/src/include/cypressford/request_digest.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What makes two requests the same, whatever ids their callers gave them.
+/// Identifies equal requests, regardless of the ids that callers assign to them.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace cypressford {
 
-/// What is compared: a caller that sends a request again sends these again.
+/// The parts that are compared: a caller's retry has the same parts.
 struct RequestParts {
     std::string_view method;
     std::string_view host; ///< without a port
@@ -23,7 +23,8 @@
     std::string_view body;
 };
 
-/// Half of a SHA-256: a caller can't make a request that is taken for another one's.
+/// The first half of a SHA-256, so that a caller can't forge a request with the digest
+/// of another one.
 struct RequestDigest {
     static constexpr std::size_t kBytes = 16;
     std::array<std::uint8_t, kBytes> bytes {};
@@ -32,7 +33,7 @@
     auto operator<=>(const RequestDigest&) const = default;
 };
 
-/// For tables: the digest's bits are spread evenly already.
+/// Hash for tables: the bits of a digest are uniformly distributed already.
 struct RequestDigestHash {
     std::size_t operator()(const RequestDigest& digest) const
     {
@@ -44,12 +45,12 @@
 
 RequestDigest digest_of(const RequestParts& parts);
 
-/// The digest's bytes, as messages carry them.
+/// The digest's bytes, as carried in messages.
 std::string to_bytes(const RequestDigest& digest);
-/// All zero for text that is no digest.
+/// All zero if the text is not a digest.
 RequestDigest digest_from(std::string_view bytes);
 
-/// For logs and commands.
+/// Hexadecimal text for logs and commands.
 std::string to_text(const RequestDigest& digest);
 
 } // namespace cypressford
--- a/src/include/cypressford/session_token.h
+++ b/src/include/cypressford/session_token.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Resume tokens.  Nodes keep nothing, so what a daemon needs to carry on a
-/// stream is in the caller's hands: authenticated, bound to its client account
-/// and to the request it belongs to, and with an end to its life.
+/// Resume tokens.  Nodes store no sessions, so the caller holds the state that a daemon
+/// needs to resume a stream: authenticated, bound to its client account
+/// and to the request it belongs to, and with an expiry time.
 
 #pragma once
 
@@ -19,15 +19,15 @@
 
 class MacKey;
 
-/// What a token says.
+/// Contents of a token.
 struct SessionState {
     std::uint64_t account = 0; ///< hash of the client account's name
     std::uint64_t stream = 0; ///< the stream's id at the engine
     std::uint64_t pipeline = 0; ///< hash of the pipeline's name
     std::uint64_t request = 0; ///< hash of the request body
     std::string engine; ///< "ip:port" of the engine that runs it
-    std::uint32_t delivered = 0; ///< tokens the caller has
-    std::uint64_t text_hash = 0; ///< running hash of their text
+    std::uint32_t delivered = 0; ///< number of tokens delivered to the caller
+    std::uint64_t text_hash = 0; ///< running hash of the delivered text
     WallMs expires = 0;
     std::uint64_t bundle_version = 0;
 
@@ -37,7 +37,7 @@
 /// Extends the running hash of delivered text by one more token.
 std::uint64_t extend_text_hash(std::uint64_t hash, std::string_view token);
 
-/// Hash of a name or body as it stands in tokens.
+/// Hash of a name or body as stored in tokens.
 std::uint64_t session_hash(std::string_view text);
 
 /// Makes and checks tokens with the key common to all daemons.
@@ -48,7 +48,7 @@
 
     std::string seal(const SessionState& state) const;
 
-    /// The state in a token, if it is authentic, alive and this caller's.
+    /// The state in a token, if the token is authentic, unexpired and this caller's.
     Result<SessionState> open(std::string_view token, std::string_view account,
                               std::string_view pipeline, std::string_view body,
                               WallMs now) const;
--- a/src/libcypressford/error_test.cpp
+++ b/src/libcypressford/error_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace cypressford;
 
-TEST_CASE("the error table has one sound row for each kind")
+TEST_CASE("the error table has one valid row for each kind")
 {
     std::set<std::string_view> names;
     std::size_t index = 0;
@@ -23,7 +23,7 @@
         CHECK(row.grpc_code <= 16);
         CHECK_FALSE(row.title.empty());
         CHECK(&error_row(row.kind) == &row);
-        // "Ask again with the same key" is for outcomes that are not known.
+        // "Retry with the same key" is only for outcomes that are unknown.
         if (row.retry == RetryAdvice::SameKey)
             CHECK(row.ran == Ran::Unknown);
     }
--- a/src/libcypressford/path_index_load_test.cpp
+++ b/src/libcypressford/path_index_load_test.cpp
@@ -42,24 +42,23 @@
 time_to_resolve(const Bundle& bundle)
 {
     UpstreamTable table("hall", 1, {});
-    const double began_at = processor_time();
+    const double started_at = processor_time();
     CHECK(table.resolve(bundle)->pipelines.size() == bundle.pipelines.size());
-    return processor_time() - began_at;
+    return processor_time() - started_at;
 }
 
-/// Guards against a reader that is silent for as long as it compares all routes with each
-/// other.
-TEST_CASE(
-    "the work of resolving a configuration grows with its routes, not with their square")
+/// Guards against resolving that compares every route with every other: a reader then does
+/// not respond for as long as this takes.
+TEST_CASE("the time to resolve a configuration grows linearly with the number of routes")
 {
-    constexpr std::size_t few = 2000;
-    constexpr std::size_t times = 8;
-    const double small = time_to_resolve(routes_of_one_host(few));
-    const double large = time_to_resolve(routes_of_one_host(few * times));
-    CHECK(large < 3 * times * small);
+    constexpr std::size_t few_routes = 2000;
+    constexpr std::size_t factor = 8;
+    const double small = time_to_resolve(routes_of_one_host(few_routes));
+    const double large = time_to_resolve(routes_of_one_host(few_routes * factor));
+    CHECK(large < 3 * factor * small);
 }
 
-TEST_CASE("of thousands of routes the one with the longest prefix takes a request")
+TEST_CASE("among thousands of routes the one with the longest prefix is matched")
 {
     Bundle bundle = routes_of_one_host(5000);
     bundle.pipelines[7].path_prefix = "/added-8/deeper/";
--- a/src/libcypressford/request_digest.cpp
+++ b/src/libcypressford/request_digest.cpp
@@ -15,7 +15,7 @@
     std::string text;
     for (const std::string_view part :
          {parts.method, parts.host, parts.target, parts.account, parts.body}) {
-        // With their lengths, no two lists of parts make the same text.
+        // The lengths make the text unambiguous: different parts give different texts.
         text += std::to_string(part.size());
         text += ':';
         text += part;
--- a/src/libcypressford/request_digest_test.cpp
+++ b/src/libcypressford/request_digest_test.cpp
@@ -11,7 +11,7 @@
 namespace cypressford {
 namespace {
 
-TEST_CASE("requests that differ in one part, or share text between parts, differ")
+TEST_CASE("requests that differ in one part, or in the split of text between parts, differ")
 {
     const std::vector<RequestParts> all {
         {"POST", "h", "/a/1", "desk", "x"},   {"PUT", "h", "/a/1", "desk", "x"},
@@ -26,7 +26,7 @@
     CHECK(digest_of(all[0]) == digest_of({"POST", "h", "/a/1", "desk", "x"}));
 }
 
-TEST_CASE("a digest survives its way through a message")
+TEST_CASE("a digest is unchanged by a round trip through its message form")
 {
     const RequestDigest digest = digest_of({"POST", "h", "/a/1", "desk", "x"});
     CHECK(digest_from(to_bytes(digest)) == digest);
--- a/src/libcypressford/session_token.cpp
+++ b/src/libcypressford/session_token.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMacBytes = 16;
 constexpr std::size_t kMaxTokenChars = 1024;
-/// Leading byte of the authenticated text; a later format takes another one.
+/// Leading byte of the authenticated text; a later format uses another value.
 constexpr char kFormat = 1;
 
 std::string
--- a/src/libcypressford/session_token_test.cpp
+++ b/src/libcypressford/session_token_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("a token opens for its own caller and request only")
+TEST_CASE("a token can be opened only for its own client account and request")
 {
     const SessionTokens tokens("key");
     const std::string token = tokens.seal(sample());
