--- a/src/include/cypressford/evacuation.h
+++ b/src/include/cypressford/evacuation.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which halls operators have evacuated: no upstream there gets anything new until the
+/// Halls that operators have evacuated: upstreams there receive no new calls until the
 /// evacuation is ended.
 
 #pragma once
@@ -22,29 +22,30 @@
     bool begun = false; ///< false: ended
 };
 
-/// Evacuations in force, from records of a log.  The record with the highest offset is
-/// in force, in whatever order records arrive: from the log itself, from another daemon
-/// or from a listing that is older than what is known.
+/// Evacuations in force, from records of a log.  The record with the highest offset is in
+/// force, in whatever order records arrive: from the log, from another daemon or from a
+/// listing that is older than the records here.
 class EvacuationTable {
 public:
-    /// True if it changed which halls are evacuated.
+    /// True if the set of evacuated halls changed.
     bool apply(const EvacuationRecord& record, Offset at);
 
-    /// The log came back from an older copy: records that follow are newer, whatever their
-    /// offsets.
+    /// The log was restored from an older copy: records that follow are newer, whatever
+    /// their offsets.
     void forget_offsets();
 
-    /// The listing that follows names all evacuations there are.
+    /// Starts a listing that names all evacuations in the log.
     void begin_listing();
-    /// Evacuations that were not listed have ended, but for those that were begun at
-    /// `end`, where the log ended when the listing began, or later.  With `believed_until`,
-    /// the log may have lost their records, and they end then.  True if that changed which
-    /// halls are evacuated.
-    bool end_listing(Offset end, std::optional<Micros> believed_until = std::nullopt);
-    /// Ends those that were believed in until now.  True if there were any.
+    /// Ends evacuations that were not listed, except those begun at `end` (the end of the
+    /// log when the listing began) or later.  With `valid_until`, the log may have lost
+    /// their records, and they stay in force until then.  True if the set of evacuated
+    /// halls changed.
+    bool end_listing(Offset end, std::optional<Micros> valid_until = std::nullopt);
+    /// Ends evacuations that were assumed valid until `now` or earlier.  True if there were
+    /// any.
     bool expire(Micros now);
 
-    /// Place of the record that is in force for the hall; -1: none is known.
+    /// Offset of the record that is in force for the hall; -1 without a record.
     Offset newest(const std::string& hall) const;
 
     /// Names of evacuated halls, sorted.
@@ -54,11 +55,11 @@
     struct Known {
         bool begun = false;
         Offset at = -1; ///< of the record that is in force
-        bool listed = false; ///< met in the listing that is under way
-        std::optional<Micros> believed_until; ///< without a record
+        bool listed = false; ///< named by the current listing
+        std::optional<Micros> valid_until; ///< set if the log may have lost the record
     };
 
-    std::map<std::string, Known> m_halls; ///< ended ones too, for their offsets
+    std::map<std::string, Known> m_halls; ///< also those no longer evacuated, for `at`
 };
 
 } // namespace cypressford
--- a/src/include/cypressford/suspect_outbox.h
+++ b/src/include/cypressford/suspect_outbox.h
@@ -11,35 +11,37 @@
 
 namespace cypressford {
 
-/// What a daemon has to tell of suspects and has not written yet.  No I/O, no clock.
+/// Suspect records of this daemon that are not written to the directory yet.  No I/O, no
+/// clock.
 class SuspectOutbox {
 public:
     struct Entry {
         std::string key;
         SuspectRecord record;
-        bool sealed = false; ///< it was sent once
+        bool sealed = false; ///< was sent at least once; takes no additions
     };
 
-    /// Records that wait for a directory that is away; the oldest go first, and what they
-    /// say stays in force at this daemon.
+    /// Records kept while the directory is unreachable; the oldest are dropped first, and
+    /// stay in force at this daemon.
     static constexpr std::size_t kMaxEntries = 64;
 
-    /// `prefix`: of keys; no other daemon's, and no other process's of this node.
+    /// `prefix`: of the keys; unique to this process among all daemons and restarts.
     explicit SuspectOutbox(std::string prefix)
         : m_prefix(std::move(prefix))
     {
     }
 
-    /// The entry that takes what is told now.
+    /// The entry to which new reports are added.
     Entry& open(WallMs now);
 
     bool empty() const { return m_entries.empty(); }
-    /// The oldest entry, to be sent.  It grows no more: others take the first record of a
-    /// key that they meet, and it may be there although no answer said so.
+    /// The oldest entry, to be sent.  Nothing is added to it any more: readers of the log
+    /// keep the first record under a key, and the log may have the entry although the
+    /// acknowledgement was lost.
     const Entry& seal_first();
-    /// The oldest entry is written.
+    /// Removes the oldest entry, after it was written.
     void drop_first() { m_entries.pop_front(); }
-    /// Forgets the oldest entries beyond the bound; how many.
+    /// Drops the oldest entries beyond kMaxEntries; returns their number.
     std::size_t trim();
 
 private:
--- a/src/include/cypressford/suspects.h
+++ b/src/include/cypressford/suspects.h
@@ -2,12 +2,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Requests under which upstreams ended, as daemons tell each other of them, and which of
-/// them no upstream gets any more.  No I/O, no clock.
+/// Requests that were running on upstreams when these ended, as reported between daemons,
+/// and which of these requests are quarantined (sent to no upstream).  No I/O, no
+/// clock.
 ///
-/// A request that ends each upstream that runs it comes again, under new ids and at any
-/// daemon: it ended 15 engines of a pool of 12 in 15 s.  So what is counted belongs to the
-/// request's digest, and all daemons count together.
+/// A request that ends each upstream that runs it is sent again by its caller, under new
+/// ids and to any daemon: one such request ended 15 engines of a pool of 12 in 15 s.  The
+/// ends are therefore counted by the request's digest, over the reports of all daemons.
 
 #pragma once
 
@@ -28,16 +29,16 @@
 
 namespace cypressford {
 
-/// An upstream ended, and a daemon had these requests running there.
+/// The end of an upstream, and the requests that a daemon had running there.
 struct UpstreamEnd {
     UpstreamRun upstream;
     std::vector<RequestDigest> running;
 };
 
-/// What one daemon tells all others.
+/// A report of one daemon to all others.
 struct SuspectRecord {
     std::vector<UpstreamEnd> ends;
-    /// Requests that were answered whole: ends that were told before count no more.
+    /// Requests that were answered in full: ends reported before no longer count for them.
     std::vector<RequestDigest> answered;
     WallMs at = 0; ///< by its writer's clock
 };
@@ -45,11 +46,11 @@
 std::string encode(const SuspectRecord& record);
 Result<SuspectRecord> decode_suspects(std::string_view bytes);
 
-/// The requests that daemons have to look out for.  Never changes once made.
+/// The suspect requests and their counts.  Immutable.
 class SuspectView {
 public:
     struct Suspicion {
-        int ends = 0; ///< upstreams that ended under it since it was last answered
+        int ends = 0; ///< upstreams that ended under it since its last full answer
         bool quarantined = false;
     };
     using Suspicions = std::unordered_map<RequestDigest, Suspicion, RequestDigestHash>;
@@ -61,12 +62,12 @@
 
     bool empty() const { return m_suspicions.empty(); }
     std::size_t size() const { return m_suspicions.size(); }
-    /// True if a whole answer to it is news.
+    /// True if a full answer to the request has to be reported.
     bool is_suspect(const RequestDigest& digest) const
     {
         return m_suspicions.contains(digest);
     }
-    /// True if no upstream gets it any more.
+    /// True if the request is sent to no upstream.
     bool is_quarantined(const RequestDigest& digest) const;
     std::size_t count_quarantined() const;
     const Suspicions& suspicions() const { return m_suspicions; }
@@ -77,74 +78,77 @@
 
 using SuspectViewPtr = std::shared_ptr<const SuspectView>;
 
-/// Collects records in any order, each under its key and with its place in the log.
+/// Collects records in any order, each with its key and its offset in the log.
 class SuspectTable {
 public:
-    /// Upstreams may end by themselves under an innocent request once, or twice when its
-    /// caller retries it.
+    /// An upstream may crash for another reason while a harmless request runs on it: once,
+    /// or twice if the caller retries the request.
     static constexpr int kEndsToQuarantine = 3;
-    /// Ends under which another request ran that has more of them don't count: a stream
-    /// that is resumed twice may meet, on all its engines, the one that ends them (seen in
-    /// one of four plays with a restart each 0.12 s).  Of requests that have as many and
-    /// always ran together, either may be it; both are refused at so many.
-    static constexpr int kEndsOfAny = 5;
-    /// Fewer ends are no reason to look at each request: with 12 engines of which 30 in 100
-    /// crash, all requests on them have one.
+    /// An end doesn't count for a request if another request that ran there has more ends:
+    /// a stream that is resumed twice may run, on all its engines, beside the request that
+    /// ends them (seen in one of four test runs with a restart each 0.12 s).  Requests that
+    /// have equally many ends and always ran together can't be told apart; all of them are
+    /// refused at this number.
+    static constexpr int kEndsOfInseparable = 5;
+    /// Requests with fewer ends are not suspects: with 12 engines of which 30 in 100 crash,
+    /// all requests on these have one end.
     static constexpr std::size_t kEndsToWatch = 2;
-    /// How long a record counts.  A caller that goes on for longer may end three more.
-    static constexpr WallMs kHoldMs = 3'600'000;
-    /// Records and digests beyond that are forgotten, those of no quarantined request and
-    /// the oldest first.  A crash of 42 engines under 89 daemons makes some 90 records.
+    /// How long a record counts.  A caller that continues for longer may end three more
+    /// upstreams.
+    static constexpr WallMs kRetentionMs = 3'600'000;
+    /// Records and digests beyond these limits are evicted: those without a quarantined
+    /// request first, and of these the oldest.  A crash of 42 engines under 89 daemons
+    /// makes some 90 records.
     static constexpr std::size_t kMaxRecords = 2048;
     static constexpr std::size_t kMaxDigests = 20'000; ///< some 300 bytes each
-    /// Of one upstream's end.  Engines run 64 at a time.
-    static constexpr std::size_t kMaxRunning = 256;
+    /// Requests in the record of one upstream's end.  Engines run 64 at a time.
+    static constexpr std::size_t kMaxRunningRequests = 256;
 
-    /// A record that is in the log at `at`.  True if it was not known.
+    /// Adds a record that the log holds at `at`.  True if it was new.
     bool apply(const std::string& key, const SuspectRecord& record, Offset at);
-    /// A record of this daemon that is not in the log yet: newer than all that is.  It
-    /// takes the place of what was given under its key.
+    /// Adds a record of this daemon that is not in the log yet; it counts as newer than all
+    /// records in the log.  Replaces an earlier record under the same key.
     void apply_unwritten(const std::string& key, const SuspectRecord& record);
-    /// The log has acknowledged a record that was given before it was written.
-    void note_written(const std::string& key);
-    /// The record is not in the log any more.  True if it was known.
+    /// The log has acknowledged a record that was added by apply_unwritten().
+    void mark_written(const std::string& key);
+    /// The record is no longer in the log.  True if it was here.
     bool drop(const std::string& key);
 
-    /// The log came back from an older copy: records that are not listed now were lost, and
-    /// hold on here until they are written again.
-    void note_log_restored();
+    /// The log was restored from an older copy: records that the next listing does not name
+    /// were lost, and are kept here until they are written again.
+    void on_log_restored();
     bool has_lost() const { return m_lost > 0; }
     /// Lost records whose keys begin with `prefix`.
     std::vector<std::pair<std::string, SuspectRecord>> lost(std::string_view prefix) const;
 
-    /// The listing that follows names all records there are.
+    /// Starts a listing that names all records in the log.
     void begin_listing();
-    /// Records that were not listed are gone, but for those written at `end` or later.
+    /// Removes records that were not listed, except those written at `end` or later.
     void end_listing(Offset end);
 
-    /// Keys of records that were forgotten here or are too old, `most` of them: to be
+    /// Keys of records that were evicted here or are too old, at most `most` of them: to be
     /// deleted from the log.
     std::vector<std::string> outdated(WallMs now, std::size_t most) const;
 
     SuspectViewPtr view() const;
-    /// Counts changes of what view() gives.
+    /// Number of changes of the result of view().
     std::uint64_t revision() const { return m_revision; }
 
 private:
     struct Known {
         SuspectRecord record;
         Offset at = 0;
-        bool listed = false; ///< met in the listing that is under way
-        bool is_written = false; ///< the log has, or had, it
+        bool listed = false; ///< named by the current listing
+        bool is_written = false; ///< the log has it, or had it
         bool is_lost = false; ///< the log may have lost it
     };
-    /// What is known of one request.
+    /// The records that name one request.
     struct Suspect {
         std::map<std::string, std::set<UpstreamRun>> ends; ///< by key of the record
         std::set<std::string> answered; ///< keys of records
     };
 
-    void note_written(Known& known);
+    void mark_written(Known& known);
     bool put(const std::string& key, const SuspectRecord& record, Offset at);
     void add(const std::string& key, const SuspectRecord& record);
     void remove(const std::string& key, const SuspectRecord& record);
@@ -152,29 +156,29 @@
     void recount(const SuspectRecord& record);
     std::set<UpstreamRun> ends_of(const Suspect& suspect) const;
     bool has_quarantined(const SuspectRecord& record) const;
-    void keep_within_bounds();
+    void enforce_bounds();
 
     std::map<std::string, Known> m_records;
     std::unordered_map<RequestDigest, Suspect, RequestDigestHash> m_suspects;
-    /// Ends of those with kEndsToWatch or more.
+    /// Ends of the requests with kEndsToWatch or more.
     std::unordered_map<RequestDigest, std::set<UpstreamRun>, RequestDigestHash> m_watched;
-    std::set<std::string> m_forgotten; ///< keys that may be in the log yet
+    std::set<std::string> m_evicted; ///< evicted keys that may still be in the log
     std::size_t m_lost = 0; ///< records
-    Offset m_unwritten = 0; ///< records that were given before they were written
+    Offset m_unwritten = 0; ///< records added by apply_unwritten()
     std::uint64_t m_revision = 0;
 };
 
-/// Requests that this thread has seen answered of late.  A request that many callers send
-/// alike may be running on three upstreams that crash at one moment; who has had a whole
-/// answer to it knows better than to refuse it.
+/// Requests that this thread has recently seen answered in full.  A request that many
+/// callers send alike may be running on three upstreams that crash at the same moment; a
+/// daemon that has had a full answer to it does not refuse it.
 class AnsweredRequests {
 public:
-    /// `hash` of the request, seeded so that callers can't make two alike.
-    void note(std::uint64_t hash) { m_hashes[hash % kSlots] = hash; }
+    /// `hash`: of the request, seeded so that callers can't construct collisions.
+    void add(std::uint64_t hash) { m_hashes[hash % kSlots] = hash; }
     bool contains(std::uint64_t hash) const { return m_hashes[hash % kSlots] == hash; }
 
 private:
-    /// 8 KB a thread; what is asked for many times a second stays in it.
+    /// 8 KB a thread; a request that is sent many times a second stays in it.
     static constexpr std::size_t kSlots = 1024;
     std::array<std::uint64_t, kSlots> m_hashes {};
 };
--- a/src/libcypressford/directory_view.cpp
+++ b/src/libcypressford/directory_view.cpp
@@ -97,10 +97,10 @@
 void
 DirectoryView::end_evacuations(Offset end, Micros now)
 {
-    std::optional<Micros> believed_until;
+    std::optional<Micros> valid_until;
     if (of(DirectoryTopic::Configuration).is_restored)
-        believed_until = now + m_fold.vanish_grace();
-    if (m_fold.evacuations().end_listing(end, believed_until))
+        valid_until = now + m_fold.vanish_grace();
+    if (m_fold.evacuations().end_listing(end, valid_until))
         m_fold.note_evacuations_changed();
 }
 
@@ -154,7 +154,7 @@
     for (const DirectoryTopic topic : kTopics)
         forget_offsets(topic, now);
     m_fold.evacuations().forget_offsets();
-    m_suspects.note_log_restored();
+    m_suspects.on_log_restored();
     return true;
 }
 
--- a/src/libcypressford/evacuation.cpp
+++ b/src/libcypressford/evacuation.cpp
@@ -15,7 +15,7 @@
     if (at <= known.at && !mutated(Mutation::EvacuationGoesBack))
         return false;
     known.at = at;
-    known.believed_until.reset();
+    known.valid_until.reset();
     const bool changed = known.begun != record.begun;
     known.begun = record.begun;
     return changed;
@@ -36,15 +36,15 @@
 }
 
 bool
-EvacuationTable::end_listing(Offset end, std::optional<Micros> believed_until)
+EvacuationTable::end_listing(Offset end, std::optional<Micros> valid_until)
 {
     bool changed = false;
     for (auto& [hall, known] : m_halls) {
         if (!known.begun || known.listed || known.at >= end)
             continue;
         known.at = end - 1;
-        known.believed_until = believed_until;
-        if (believed_until)
+        known.valid_until = valid_until;
+        if (valid_until)
             continue;
         known.begun = false;
         changed = true;
@@ -57,9 +57,9 @@
 {
     bool changed = false;
     for (auto& [hall, known] : m_halls) {
-        if (!known.believed_until || *known.believed_until > now)
+        if (!known.valid_until || *known.valid_until > now)
             continue;
-        known.believed_until.reset();
+        known.valid_until.reset();
         known.begun = false;
         changed = true;
     }
--- a/src/libcypressford/evacuation_test.cpp
+++ b/src/libcypressford/evacuation_test.cpp
@@ -2,7 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Evacuations of halls: what holds, whom they reach and what is sent where.
+/// Evacuations of halls: which are in force, how daemons receive them, and the routing of
+/// calls.
 
 #include <doctest/doctest.h>
 
@@ -25,7 +26,7 @@
     CHECK(table.halls() == Halls {"a"});
     CHECK(table.apply({"a", false}, 20));
     CHECK(table.halls().empty());
-    // Arrives from another daemon, late.
+    // An older record that arrives late, from another daemon.
     CHECK_FALSE(table.apply({"a", true}, 10));
     CHECK(table.halls().empty());
     CHECK(table.apply({"b", true}, 21));
@@ -33,7 +34,7 @@
     CHECK(table.halls() == Halls {"a", "b"});
 }
 
-TEST_CASE("a listing ends evacuations that it does not name, an older one does not")
+TEST_CASE("a listing ends evacuations that it does not contain, an older listing does not")
 {
     EvacuationTable table;
     table.apply({"a", true}, 10);
@@ -47,7 +48,7 @@
     CHECK(table.halls() == Halls {"b"});
 }
 
-TEST_CASE("a listing that is older than the end of an evacuation does not bring it back")
+TEST_CASE("a listing that is older than the end of an evacuation does not restore it")
 {
     EvacuationTable table;
     table.apply({"a", true}, 10);
@@ -90,8 +91,8 @@
 
     static Halls halls(DirectoryView& view) { return view.fold().evacuations().halls(); }
 
-    /// The follower hears what the reader knows.
-    void tell()
+    /// The follower reads the reader's feed.
+    void sync_follower()
     {
         FeedQuery query = follower.query();
         query.cursors.resize(1);
@@ -105,7 +106,7 @@
     DirectoryView follower;
 };
 
-TEST_CASE("an evacuation comes through the directory beside the configuration")
+TEST_CASE("an evacuation is read from the directory beside the configuration")
 {
     Views views;
     const DirectoryRecord configuration {"config", "7", 0};
@@ -115,28 +116,28 @@
     CHECK(Views::read(views.reader, 1, {{"evacuation/b", "{}"}}));
     CHECK(Views::halls(views.reader) == Halls {"b"});
     CHECK(views.reader.fold().revision() == before + 1);
-    // A newer configuration does not take its place.
+    // A newer configuration does not replace the evacuation.
     CHECK(Views::read(views.reader, 2, {{"config", "8"}}));
-    views.tell();
+    views.sync_follower();
     CHECK(Views::halls(views.follower) == Halls {"b"});
     CHECK(views.follower.fold().configuration()->version == 8);
     CHECK(Views::read(views.reader, 3, {{"evacuation/b", ""}}));
-    views.tell();
+    views.sync_follower();
     CHECK(Views::halls(views.follower).empty());
     CHECK(views.follower.fold().configuration()->version == 8);
 }
 
-TEST_CASE("a daemon that starts learns of evacuations from its listing")
+TEST_CASE("a daemon that starts reads evacuations from its listing")
 {
     Views views;
     Views::list(views.reader, {{"config", "7", 3}, {"evacuation/c", "{}", 5}}, 6);
     CHECK(Views::halls(views.reader) == Halls {"c"});
-    // The log has forgotten its history, and the evacuation has ended meanwhile.
+    // The log has lost its history, and the evacuation has ended meanwhile.
     Views::list(views.reader, {{"config", "7", 3}}, 9);
     CHECK(Views::halls(views.reader).empty());
 }
 
-TEST_CASE("nothing new goes to an evacuated hall, also under an older snapshot")
+TEST_CASE("no new call goes to an evacuated hall, also under an older snapshot")
 {
     Fleet fleet;
     CHECK(fleet.arrive() == fleet.ia.get());
@@ -145,13 +146,13 @@
     REQUIRE(fleet.find<SendAttempt>());
     const SendAttempt first = *fleet.find<SendAttempt>();
     CHECK(first.upstream->identity == "ib");
-    // Nor does a second attempt, though the first upstream failed.
+    // Nor does a second attempt after the first upstream failed.
     fleet.handle(AttemptEnded {first.attempt, AttemptStatus::Failed});
     REQUIRE(fleet.find<SendAttempt>());
     CHECK(fleet.find<SendAttempt>()->upstream->identity == "ib");
 }
 
-TEST_CASE("with all halls evacuated a request is refused at once and told when to return")
+TEST_CASE("with all halls evacuated a request is refused at once with a retry time")
 {
     Fleet fleet;
     fleet.table.set_evacuated({"a", "b"}, fleet.now);
@@ -168,7 +169,7 @@
     CHECK(fleet.find<SendAttempt>());
 }
 
-TEST_CASE("an upstream that appears in an evacuated hall gets nothing either")
+TEST_CASE("an upstream that is added in an evacuated hall receives no calls")
 {
     Fleet fleet;
     fleet.table.set_evacuated({"b"}, fleet.now);
@@ -190,7 +191,7 @@
     return set;
 }
 
-TEST_CASE("pieces that wait for an evacuated hall go elsewhere")
+TEST_CASE("pieces that are queued for an evacuated hall go elsewhere")
 {
     auto a = std::make_shared<UpstreamState>("10.0.0.1:1", "a", "ia");
     auto b = std::make_shared<UpstreamState>("10.0.0.2:1", "b", "ib");
@@ -209,7 +210,7 @@
     CHECK(call->upstream->identity == "ib");
 }
 
-TEST_CASE("a prompt leaves an evacuated engine that keeps its parts, and returns later")
+TEST_CASE("a prompt is not placed on evacuated engines, also if one holds its parts")
 {
     auto a = std::make_shared<UpstreamState>("10.0.0.1:1", "a", "ia");
     auto b = std::make_shared<UpstreamState>("10.0.0.2:1", "b", "ib");
--- a/src/libcypressford/restored_log_test.cpp
+++ b/src/libcypressford/restored_log_test.cpp
@@ -257,7 +257,7 @@
         m_view.note_generation(kBefore, 0);
         list(m_view, DirectoryTopic::Suspects, {record_of("a.1", "e1")}, 1);
         m_view.suspects().apply_unwritten("own.1", ends("e2"));
-        m_view.suspects().note_written("own.1");
+        m_view.suspects().mark_written("own.1");
         m_view.suspects().apply_unwritten("own.2", ends("e3"));
         m_view.take_page(DirectoryTopic::Suspects, 1, {record_of("b.1", "e4")}, 0, 0, 0);
     }
@@ -303,7 +303,7 @@
     CHECK(suspects.is_quarantined());
     CHECK(suspects.lost("own.") == std::vector<std::string> {"own.1"});
     CHECK(suspects.lost("") == std::vector<std::string> {"b.1", "own.1"});
-    suspects.view().suspects().note_written("own.1");
+    suspects.view().suspects().mark_written("own.1");
     suspects.view().take_page(DirectoryTopic::Suspects, 1,
                               {suspects.record_of("b.1", "e4")}, 0, 0, 0);
     CHECK(suspects.lost("").empty());
@@ -318,7 +318,7 @@
         suspects.view().note_generation(generation, 0);
         list(suspects.view(), DirectoryTopic::Suspects, {}, 0);
         CHECK(suspects.lost("own.") == std::vector<std::string> {"own.1"});
-        suspects.view().suspects().note_written("own.1");
+        suspects.view().suspects().mark_written("own.1");
     }
 }
 
--- a/src/libcypressford/suspect_outbox.cpp
+++ b/src/libcypressford/suspect_outbox.cpp
@@ -24,10 +24,10 @@
 std::size_t
 SuspectOutbox::trim()
 {
-    std::size_t forgotten = 0;
-    for (; m_entries.size() > kMaxEntries; ++forgotten)
+    std::size_t dropped = 0;
+    for (; m_entries.size() > kMaxEntries; ++dropped)
         m_entries.pop_front();
-    return forgotten;
+    return dropped;
 }
 
 } // namespace cypressford
--- a/src/libcypressford/suspects.cpp
+++ b/src/libcypressford/suspects.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-/// Places of records that are not in the log yet lie behind all that are.
+/// Offsets of records that are not in the log yet; greater than all offsets of the log.
 constexpr Offset kUnwritten = Offset {1} << 62;
-constexpr Offset kBeforeAll = std::numeric_limits<Offset>::min();
-/// So many parts of the records go at a time once there are too many: to look which of them
-/// matter takes longer than to forget them.
-constexpr std::size_t kForgottenPart = 8;
+constexpr Offset kBeforeAllOffsets = std::numeric_limits<Offset>::min();
+/// One in this many records is evicted at a time once there are too many: finding the
+/// records to evict takes longer than evicting them.
+constexpr std::size_t kEvictionDivisor = 8;
 
 } // namespace
 
@@ -56,7 +56,7 @@
         UpstreamEnd end;
         end.upstream = {item.identity(), item.born()};
         for (const std::string& digest : item.running())
-            if (is_digest(digest) && end.running.size() < SuspectTable::kMaxRunning)
+            if (is_digest(digest) && end.running.size() < SuspectTable::kMaxRunningRequests)
                 end.running.push_back(digest_from(digest));
         record.ends.push_back(std::move(end));
     }
@@ -85,27 +85,27 @@
 
 namespace {
 
-/// The most ends that any request has which ran on one upstream when it ended.
-struct MostEnds {
+/// The highest number of ends among the requests that ran on one upstream when it ended.
+struct MaxEnds {
     std::size_t ends = 0;
-    int requests = 0; ///< that have so many
+    int requests = 0; ///< that have this number of ends
 };
 
-using MostByUpstream = std::unordered_map<UpstreamRun, MostEnds, UpstreamRunHash>;
+using MaxEndsByUpstream = std::unordered_map<UpstreamRun, MaxEnds, UpstreamRunHash>;
 
 bool
-is_quarantined(const std::set<UpstreamRun>& ends, const MostByUpstream& most)
+is_quarantined(const std::set<UpstreamRun>& ends, const MaxEndsByUpstream& most)
 {
-    int own = 0; // with no request beside it that has more
-    bool alone = false; // at one of these, with none that has as many either
+    int own = 0; // ends at which no other request has more ends than this one
+    bool alone = false; // at one of these, no other request has as many either
     for (const UpstreamRun& upstream : ends) {
-        const MostEnds& there = most.at(upstream);
+        const MaxEnds& there = most.at(upstream);
         if (there.ends > ends.size())
             continue;
         ++own;
         alone = alone || there.requests == 1;
     }
-    return own >= SuspectTable::kEndsOfAny
+    return own >= SuspectTable::kEndsOfInseparable
         || (own >= SuspectTable::kEndsToQuarantine && alone);
 }
 
@@ -114,10 +114,10 @@
 SuspectViewPtr
 SuspectTable::view() const
 {
-    MostByUpstream most;
+    MaxEndsByUpstream most;
     for (const auto& [digest, ends] : m_watched)
         for (const UpstreamRun& upstream : ends) {
-            MostEnds& there = most[upstream];
+            MaxEnds& there = most[upstream];
             if (ends.size() > there.ends)
                 there = {ends.size(), 1};
             else if (ends.size() == there.ends)
@@ -130,12 +130,12 @@
     return std::make_shared<const SuspectView>(std::move(suspicions));
 }
 
-/// Upstreams that ended since the request was last answered whole.  Several daemons may
-/// tell of one end.
+/// Upstreams that ended since the request was last answered in full.  Several daemons may
+/// report the same end.
 std::set<UpstreamRun>
 SuspectTable::ends_of(const Suspect& suspect) const
 {
-    Offset answered_at = kBeforeAll;
+    Offset answered_at = kBeforeAllOffsets;
     if (!mutated(Mutation::IgnoreWholeAnswers))
         for (const std::string& key : suspect.answered)
             answered_at = std::max(answered_at, m_records.at(key).at);
@@ -162,24 +162,24 @@
 }
 
 void
-SuspectTable::note_written(const std::string& key)
+SuspectTable::mark_written(const std::string& key)
 {
     const auto it = m_records.find(key);
     if (it == m_records.end())
         return;
-    note_written(it->second);
+    mark_written(it->second);
 }
 
 void
-SuspectTable::note_written(Known& known)
+SuspectTable::mark_written(Known& known)
 {
     known.is_written = true;
     m_lost -= std::exchange(known.is_lost, false) ? 1 : 0;
 }
 
-/// In the order that they had, behind all that the log holds.
+/// Keeps the order of the records and moves them behind all that the log holds.
 void
-SuspectTable::note_log_restored()
+SuspectTable::on_log_restored()
 {
     std::vector<std::pair<Offset, std::string>> order;
     order.reserve(m_records.size());
@@ -212,8 +212,9 @@
     auto [it, is_new] = m_records.try_emplace(key);
     it->second.listed = true;
     if (at < kUnwritten)
-        note_written(it->second);
-    // Written again after an answer that was lost, a record is where it was first.
+        mark_written(it->second);
+    // A record that was written again because the acknowledgement was lost counts at its
+    // first offset.
     const bool is_known = !is_new && it->second.at <= at;
     if (is_known)
         return false;
@@ -221,17 +222,17 @@
     if (is_new) {
         it->second.record = record;
         add(key, record);
-        m_forgotten.erase(key);
+        m_evicted.erase(key);
     }
     recount(record);
-    keep_within_bounds();
+    enforce_bounds();
     return is_new;
 }
 
 bool
 SuspectTable::drop(const std::string& key)
 {
-    m_forgotten.erase(key);
+    m_evicted.erase(key);
     const auto it = m_records.find(key);
     if (it == m_records.end())
         return false;
@@ -303,11 +304,11 @@
 void
 SuspectTable::end_listing(Offset end)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
     for (const auto& [key, known] : m_records)
         if (!known.listed && known.at < end)
-            gone.push_back(key);
-    for (const std::string& key : gone)
+            removed.push_back(key);
+    for (const std::string& key : removed)
         drop(key);
 }
 
@@ -317,11 +318,11 @@
 SuspectTable::outdated(WallMs now, std::size_t most) const
 {
     std::vector<std::string> keys;
-    for (const std::string& key : m_forgotten)
+    for (const std::string& key : m_evicted)
         if (keys.size() < most)
             keys.push_back(key);
     for (const auto& [key, known] : m_records)
-        if (keys.size() < most && now - known.record.at > kHoldMs)
+        if (keys.size() < most && now - known.record.at > kRetentionMs)
             keys.push_back(key);
     return keys;
 }
@@ -339,7 +340,7 @@
 }
 
 void
-SuspectTable::keep_within_bounds()
+SuspectTable::enforce_bounds()
 {
     if (m_records.size() <= kMaxRecords && m_suspects.size() <= kMaxDigests)
         return;
@@ -348,13 +349,13 @@
     for (const auto& [key, known] : m_records)
         order.emplace_back(has_quarantined(known.record), known.at, key);
     std::sort(order.begin(), order.end());
-    order.resize(std::max<std::size_t>(1, order.size() / kForgottenPart));
+    order.resize(std::max<std::size_t>(1, order.size() / kEvictionDivisor));
     for (const auto& [quarantined, at, key] : order) {
         drop(key);
-        m_forgotten.insert(key);
+        m_evicted.insert(key);
     }
-    while (m_forgotten.size() > kMaxRecords)
-        m_forgotten.erase(m_forgotten.begin());
+    while (m_evicted.size() > kMaxRecords)
+        m_evicted.erase(m_evicted.begin());
 }
 
 } // namespace cypressford
--- a/src/libcypressford/suspects_test.cpp
+++ b/src/libcypressford/suspects_test.cpp
@@ -36,7 +36,8 @@
     return {{}, {request}, 0};
 }
 
-TEST_CASE("a request under which three upstreams ended is refused, whoever saw the ends")
+TEST_CASE(
+    "a request under which three upstreams ended is refused, whichever daemons report")
 {
     SuspectTable table;
     table.apply("a.1", end_of("e1", {digest(1), digest(2)}), 0);
@@ -51,8 +52,7 @@
     CHECK(table.view()->count_quarantined() == 1);
 }
 
-TEST_CASE(
-    "one end counts once, whoever tells of it, and a new run of an upstream is another")
+TEST_CASE("an end that several daemons report counts once, the end of a new run again")
 {
     SuspectTable table;
     table.apply("a.1", end_of("e1", {digest(1)}), 0);
@@ -64,7 +64,8 @@
     CHECK(table.view()->is_quarantined(digest(1)));
 }
 
-TEST_CASE("a whole answer takes back the ends that were told before it, in any order")
+TEST_CASE(
+    "a full answer cancels the ends that the log holds before it, in any order of arrival")
 {
     const std::vector<std::pair<std::string, SuspectRecord>> log {
         {"a.1", end_of("e1", {digest(1)})}, {"a.2", end_of("e2", {digest(1)})},
@@ -83,10 +84,9 @@
     }
 }
 
-/// What was seen: a stream that was resumed at two engines met the request that ended its
-/// first engine there as well, and was refused with it.  Both had three ends, all of them
-/// together.
-TEST_CASE("a request that ran beside the one that ends upstreams is not refused for it")
+/// A stream that is resumed at two engines runs there beside the request that ended its
+/// first engine.  Both then have the same three ends, and the stream was refused as well.
+TEST_CASE("a harmless request that ran beside the one that ends upstreams is not refused")
 {
     SuspectTable table;
     int written = 0;
@@ -97,22 +97,23 @@
     };
     for (int i = 0; i < 3; ++i)
         end({digest(1), digest(2)});
-    // Nothing tells them apart yet.
+    // The two can't be told apart yet.
     CHECK(table.view()->is_suspect(digest(1)));
     CHECK(table.view()->count_quarantined() == 0);
     end({digest(1), digest(3)});
     CHECK(table.view()->is_quarantined(digest(1)));
     CHECK(table.view()->count_quarantined() == 1);
-    // One that ends others by itself is found out beside it.
+    // A second request that ends upstreams alone is quarantined too.
     for (int i = 0; i < 3; ++i)
         end({digest(2)});
     CHECK(table.view()->is_quarantined(digest(2)));
 }
 
-TEST_CASE("requests that always end upstreams together are refused in the end")
+TEST_CASE(
+    "requests that always end upstreams together are refused at a higher number of ends")
 {
     SuspectTable table;
-    for (int i = 0; i < SuspectTable::kEndsOfAny; ++i) {
+    for (int i = 0; i < SuspectTable::kEndsOfInseparable; ++i) {
         CHECK(table.view()->count_quarantined() == 0);
         const std::string name = std::to_string(i);
         table.apply(name, end_of(name, {digest(1), digest(2)}), i);
@@ -120,7 +121,7 @@
     CHECK(table.view()->count_quarantined() == 2);
 }
 
-TEST_CASE("what this daemon saw counts before it is written, and once when it is")
+TEST_CASE("this daemon's own record counts before it is written, and once afterwards")
 {
     SuspectTable table;
     table.apply("b.1", end_of("e1", {digest(1)}), 7);
@@ -137,9 +138,9 @@
     CHECK_FALSE(table.view()->is_quarantined(digest(1)));
 }
 
-/// The answer to a write is lost: the record is there, others have read it, and what this
-/// daemon sees next must not go into it.
-TEST_CASE("what is told after a record was sent goes into another one")
+/// The acknowledgement of a write may be lost: the log has the record and others have read
+/// it, so later ends must not be added to it.
+TEST_CASE("an end that is reported after a record was sent goes into another record")
 {
     SuspectOutbox outbox("n.");
     SuspectTable others;
@@ -147,7 +148,7 @@
     outbox.open(1).record.ends.push_back({{"e2", 1}, {digest(1)}});
     others.apply(outbox.seal_first().key, outbox.seal_first().record, 0);
     outbox.open(2).record.ends.push_back({{"e3", 1}, {digest(1)}});
-    // Sent again, as its answer was lost, and then the next one.
+    // Sent again because the acknowledgement was lost, and then the next record.
     for (Offset at = 1; !outbox.empty(); ++at) {
         const SuspectOutbox::Entry& entry = outbox.seal_first();
         others.apply(entry.key, entry.record, at);
@@ -156,7 +157,7 @@
     CHECK(others.view()->is_quarantined(digest(1)));
 }
 
-TEST_CASE("records that wait for a directory that is away are bounded")
+TEST_CASE("records that wait for an unreachable directory are bounded")
 {
     SuspectOutbox outbox("n.");
     for (std::size_t i = 0; i < SuspectOutbox::kMaxEntries + 5; ++i)
@@ -165,7 +166,7 @@
     CHECK(outbox.trim() == 0);
 }
 
-TEST_CASE("a listing takes away what is not in it, but for what came after it began")
+TEST_CASE("a listing removes records that it does not contain, except later ones")
 {
     SuspectTable table;
     table.apply("a.1", end_of("e1", {digest(1)}), 0);
@@ -180,20 +181,21 @@
     CHECK_FALSE(table.view()->is_quarantined(digest(1)));
 }
 
-TEST_CASE("records that are too old are named for deletion, some at a time")
+TEST_CASE(
+    "records that are too old are returned for deletion, at most the requested number")
 {
     SuspectTable table;
     for (int i = 0; i < 10; ++i)
         table.apply(std::to_string(i), end_of("e" + std::to_string(i), {digest(1)}, 1, i),
                     i);
-    CHECK(table.outdated(SuspectTable::kHoldMs, 100).empty());
-    CHECK(table.outdated(SuspectTable::kHoldMs + 5, 100).size() == 5);
-    CHECK(table.outdated(SuspectTable::kHoldMs + 100, 3).size() == 3);
+    CHECK(table.outdated(SuspectTable::kRetentionMs, 100).empty());
+    CHECK(table.outdated(SuspectTable::kRetentionMs + 5, 100).size() == 5);
+    CHECK(table.outdated(SuspectTable::kRetentionMs + 100, 3).size() == 3);
 }
 
-/// 100,000 requests end three upstreams each: memory stays bounded, what is known of the
-/// request that was quarantined before remains, and what was forgotten is deleted.
-TEST_CASE("a flood of ends stays within bounds and does not release the quarantined")
+/// 100,000 requests end one upstream each: memory stays bounded, the request that was
+/// quarantined before stays so, and keys of evicted records are returned for deletion.
+TEST_CASE("a flood of ends stays within bounds and releases no quarantined request")
 {
     SuspectTable table;
     for (int i = 0; i < 3; ++i)
@@ -209,10 +211,10 @@
     CHECK(table.view()->is_quarantined(digest(0)));
     CHECK(table.outdated(0, flood).size() <= SuspectTable::kMaxRecords);
     CHECK(most > 0);
-    MESSAGE("named for deletion at a time: at most ", most);
+    MESSAGE("keys returned for deletion at a time: at most ", most);
 }
 
-TEST_CASE("a record goes through a message, and one that is none is refused")
+TEST_CASE("a record survives encoding and decoding, and other bytes are refused")
 {
     SuspectRecord record = end_of("e1", {digest(1), digest(2)}, 1234567890123, 99);
     record.answered = {digest(3)};
@@ -226,7 +228,7 @@
     CHECK_FALSE(decode_suspects("\xff\xff no record"));
 }
 
-TEST_CASE("daemons that follow a reader learn of ends from it, and fresh ones by listing")
+TEST_CASE("followers receive ends from their reader, and new daemons from a listing")
 {
     TextDialect dialect;
     const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
@@ -261,16 +263,16 @@
     CHECK(late.suspects().view()->is_quarantined(digest(1)));
 }
 
-/// Engines under load, some of which crash by themselves, and a request that ends each one
-/// that runs it and comes again.  Plain steps of 10 ms; what is seen is known everywhere
-/// after `kSpread`.
+/// Simulates engines under load, some of which crash by themselves, and a request that ends
+/// each engine that runs it and is sent again.  Steps of 10 ms; reports reach all daemons
+/// after `kPropagationDelay`.
 class Load {
 public:
     static constexpr int kEngines = 12;
     static constexpr int kStep = 10; ///< ms
-    static constexpr int kSpread = 500; ///< ms
-    static constexpr int kRestart = 3000; ///< ms
-    static constexpr int kRun = 1000; ///< ms, of an innocent request
+    static constexpr int kPropagationDelay = 500; ///< ms
+    static constexpr int kRestartTime = 3000; ///< ms
+    static constexpr int kRunTime = 1000; ///< ms, of a harmless request
 
     Load(unsigned seed, bool quarantines)
         : m_random(seed)
@@ -278,12 +280,12 @@
     {
     }
 
-    int killer_sent = 0;
-    int killer_ended = 0; ///< engines
-    int innocents_refused = 0;
-    int innocents = 0;
+    int harmful_sent = 0;
+    int engines_ended = 0; ///< engines
+    int harmless_refused = 0;
+    int harmless_sent = 0;
 
-    void run(int seconds, double killers_per_s, double crash_share)
+    void run(int seconds, double harmful_per_s, double crash_share)
     {
         for (int ms = 0; ms < seconds * 1000; ms += kStep) {
             m_now = ms;
@@ -293,12 +295,12 @@
                         end(engine);
             // 46 requests a second, as on a deployment with 12 engines.
             if (chance(0.46))
-                arrive(digest(++innocents), false);
-            if (chance(killers_per_s * kStep / 1000))
+                arrive(digest(++harmless_sent), false);
+            if (chance(harmful_per_s * kStep / 1000))
                 arrive(digest(0), true);
             for (int engine = 0; engine < kEngines; ++engine)
-                work(engine);
-            spread();
+                finish_runs(engine);
+            propagate();
         }
     }
 
@@ -306,11 +308,11 @@
     struct Run {
         RequestDigest digest;
         int ends_at = 0;
-        bool kills = false;
-        int tries = 0;
+        bool ends_engine = false;
+        int retries = 0;
     };
     struct Engine {
-        int back_at = 0;
+        int restarted_at = 0;
         std::int64_t born = 1;
         std::vector<Run> runs;
     };
@@ -320,22 +322,23 @@
         return std::uniform_real_distribution<>(0, 1)(m_random) < share;
     }
 
-    void arrive(const RequestDigest& request, bool kills, int tries = 0)
+    void arrive(const RequestDigest& request, bool ends_engine, int retries = 0)
     {
         if (m_quarantines && m_table.view()->is_quarantined(request)) {
-            innocents_refused += kills ? 0 : 1;
+            harmless_refused += ends_engine ? 0 : 1;
             return;
         }
         std::vector<int> up;
         for (int engine = 0; engine < kEngines; ++engine)
-            if (m_engines.at(static_cast<std::size_t>(engine)).back_at <= m_now)
+            if (m_engines.at(static_cast<std::size_t>(engine)).restarted_at <= m_now)
                 up.push_back(engine);
         if (up.empty())
             return;
-        killer_sent += kills ? 1 : 0;
+        harmful_sent += ends_engine ? 1 : 0;
         const int chosen = up[m_random() % up.size()];
         m_engines.at(static_cast<std::size_t>(chosen))
-            .runs.push_back({request, m_now + (kills ? 100 : kRun), kills, tries});
+            .runs.push_back(
+                {request, m_now + (ends_engine ? 100 : kRunTime), ends_engine, retries});
     }
 
     void end(int number)
@@ -346,39 +349,40 @@
         running.reserve(cut.size());
         for (const Run& run : cut)
             running.push_back(run.digest);
-        m_spreading.push_back(
-            {m_now + kSpread, end_of("e" + std::to_string(number), running, engine.born)});
+        m_in_transit.push_back(
+            {m_now + kPropagationDelay,
+             end_of("e" + std::to_string(number), running, engine.born)});
         ++engine.born;
-        engine.back_at = m_now + kRestart;
-        // Callers try once more.
+        engine.restarted_at = m_now + kRestartTime;
+        // Callers retry once.
         for (const Run& run : cut)
-            if (!run.kills && run.tries == 0)
+            if (!run.ends_engine && run.retries == 0)
                 arrive(run.digest, false, 1);
     }
 
-    void work(int number)
+    void finish_runs(int number)
     {
         Engine& engine = m_engines.at(static_cast<std::size_t>(number));
-        const bool kills
+        const bool ends_engine
             = std::any_of(engine.runs.begin(), engine.runs.end(), [&](const Run& run) {
-                  return run.kills && run.ends_at <= m_now;
+                  return run.ends_engine && run.ends_at <= m_now;
               });
-        if (kills) {
-            ++killer_ended;
+        if (ends_engine) {
+            ++engines_ended;
             end(number);
         }
         std::erase_if(engine.runs, [&](const Run& run) {
             if (run.ends_at > m_now)
                 return false;
             if (m_table.view()->is_suspect(run.digest))
-                m_spreading.push_back({m_now + kSpread, answer_to(run.digest)});
+                m_in_transit.push_back({m_now + kPropagationDelay, answer_to(run.digest)});
             return true;
         });
     }
 
-    void spread()
+    void propagate()
     {
-        std::erase_if(m_spreading, [&](const auto& item) {
+        std::erase_if(m_in_transit, [&](const auto& item) {
             if (item.first > m_now)
                 return false;
             m_table.apply("r" + std::to_string(m_written), item.second, m_written);
@@ -393,35 +397,35 @@
     Offset m_written = 0;
     SuspectTable m_table;
     std::array<Engine, kEngines> m_engines;
-    std::vector<std::pair<int, SuspectRecord>> m_spreading;
+    std::vector<std::pair<int, SuspectRecord>> m_in_transit;
 };
 
-/// A request that ends its engine comes once a second amid 46 others a second, and in the
-/// middle 30 in 100 engines crash by themselves.  Of 12 engines that are back after 3 s it
-/// ended 40.2 in 40 s before there was a quarantine, and ends 3.7 with it.
-TEST_CASE("one such request a second ends few engines and no innocent request is refused")
+/// A request that ends its engine arrives once a second amid 46 others a second, and
+/// halfway 30 in 100 engines crash by themselves.  Of 12 engines that restart in 3 s it
+/// ends 40.2 in 40 s without a quarantine, and 3.7 with it.
+TEST_CASE("a request that ends engines ends few, and no harmless request is refused")
 {
     int ended_without = 0;
     int ended = 0;
     int most = 0;
-    constexpr int plays = 40;
-    for (unsigned seed = 0; seed < plays; ++seed) {
+    constexpr int simulations = 40;
+    for (unsigned seed = 0; seed < simulations; ++seed) {
         Load before(seed, false);
         before.run(40, 1, 0.3);
-        ended_without += before.killer_ended;
+        ended_without += before.engines_ended;
         Load load(seed, true);
         load.run(40, 1, 0.3);
-        CHECK(load.innocents_refused == 0);
-        CHECK(load.innocents > 1500);
-        ended += load.killer_ended;
-        most = std::max(most, load.killer_ended);
+        CHECK(load.harmless_refused == 0);
+        CHECK(load.harmless_sent > 1500);
+        ended += load.engines_ended;
+        most = std::max(most, load.engines_ended);
     }
     CHECK(most <= 6);
-    CHECK(ended <= 4 * plays);
-    CHECK(ended_without >= 30 * plays);
-    MESSAGE("engines ended by one such request a second in 40 s, ", plays,
-            " plays: ", ended_without, " without quarantine, ", ended, " with it, at most ",
-            most);
+    CHECK(ended <= 4 * simulations);
+    CHECK(ended_without >= 30 * simulations);
+    MESSAGE("engines ended by one such request a second in 40 s, ", simulations,
+            " simulations: ", ended_without, " without quarantine, ", ended,
+            " with it, at most ", most);
 }
 
 } // namespace
--- a/src/libcypressford/test_fleet.h
+++ b/src/libcypressford/test_fleet.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A scheduler over two halls for tests of where requests go.
+/// A scheduler over two halls, for tests of routing.
 
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace cypressford {
 
-/// What a test varies.
+/// Parameters that tests vary.
 struct FleetSpec {
     ColdSpec cold;
     std::vector<std::string> pipeline_regions;
@@ -49,10 +49,10 @@
     }
 
     const Scheduler& scheduler() const { return m_scheduler; }
-    /// The number of the request that arrived last.
+    /// Id of the latest request.
     RequestId last_request() const { return m_last_request; }
 
-    /// The upstream that the next request is sent to at once, or null.
+    /// The upstream to which the next request is sent at once, or null.
     const UpstreamState* arrive()
     {
         RequestSpec request;
@@ -105,7 +105,7 @@
         AccountSpec account;
         account.name = "account";
         account.credential_sha256 = std::string(64, 'a');
-        account.rate = account.burst = 1e9; // limits of accounts have tests of their own
+        account.rate = account.burst = 1e9; // unlimited: other tests cover account limits
         account.regions = std::move(spec.account_regions);
         bundle.accounts.push_back(account);
         return bundle;
--- a/src/libcypressford/test_times.h
+++ b/src/libcypressford/test_times.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// For tests of rates.
+/// Helper for tests of rates.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace cypressford {
 
-/// Most of these times that lie within one span of that length.
+/// The largest number of these times that lie within one interval of length `span`.
 inline std::size_t
 most_within(std::vector<Micros> times, Micros span)
 {
--- a/src/libcypressford/text_dialect.h
+++ b/src/libcypressford/text_dialect.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A dialect for tests of what is decided from records, without any platform's format.
+/// A directory dialect for tests of decisions from records, without a platform's format.
 
 #pragma once
 
@@ -12,9 +12,9 @@
 
 namespace cypressford {
 
-/// Records as plain text: a version, or "sequence" with "!" for one that is leaving and
-/// "@BORN" for its start; under "evacuation/HALL" anything while the hall is evacuated.
-/// What begins with "?" can't be read.
+/// Records as plain text: a version, or "sequence" with "!" for an upstream that is leaving
+/// and "@BORN" for its start; under "evacuation/HALL" any text while the hall is evacuated.
+/// A value that begins with "?" can't be parsed.
 class TextDialect final : public DirectoryDialect {
 public:
     HttpRequest newest(DirectoryTopic, std::string_view) const override { return {}; }
--- a/src/libserve/daemon.cpp
+++ b/src/libserve/daemon.cpp
@@ -117,9 +117,9 @@
         ends = std::make_unique<EndWatch>(control);
         kernel.ends = ends.get();
         suspects = std::make_unique<SuspectWriter>(control, kernel, *directory);
-        ends->on_end([this](UpstreamEnd end) { suspects->tell_end(std::move(end)); });
+        ends->on_end([this](UpstreamEnd end) { suspects->report_end(std::move(end)); });
         ends->on_answered(
-            [this](const RequestDigest& digest) { suspects->tell_answered(digest); });
+            [this](const RequestDigest& digest) { suspects->report_answered(digest); });
         directory->on_daemons([this](std::vector<DaemonRecord> records) {
             pieces->take_daemons(std::move(records));
         });
--- a/src/libserve/directory/directory_watch_in_force.cpp
+++ b/src/libserve/directory/directory_watch_in_force.cpp
@@ -95,7 +95,7 @@
 void
 DirectoryWatch::note_suspects_written(const std::string& key)
 {
-    m_view.suspects().note_written(key);
+    m_view.suspects().mark_written(key);
 }
 
 std::vector<DirectoryRecord>
--- a/src/libserve/relay/suspicion.cpp
+++ b/src/libserve/relay/suspicion.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Relayed requests under which upstreams end: which are refused, and what the ends of
-/// their runs tell all daemons.
+/// Quarantine of relayed requests under which upstreams end, and the reports of broken runs
+/// and full answers.
 
 #include "libserve/entry/worker.h"
 
@@ -47,7 +47,7 @@
 Worker::note_answered(const RequestContext& context)
 {
     const Relay& relay = *context.relay;
-    m_answered.note(hash_of(relay.request, relay.call, context.account));
+    m_answered.add(hash_of(relay.request, relay.call, context.account));
     const SuspectViewPtr suspects = m_kernel.suspects.load();
     if (!suspects || suspects->empty())
         return;
@@ -82,12 +82,12 @@
         .kv("digest", to_text(digest))
         .kv("closed_there", closed_there)
         .kv("leaving", leaving);
-    // One that leaves ends as planned, whatever runs there.
+    // An upstream that is leaving ends as planned, whatever runs there.
     if (closed_there && !leaving && m_kernel.ends)
-        m_kernel.ends->note({{send.upstream->identity, send.upstream->born},
-                             send.upstream->address,
-                             context.log_id(),
-                             digest});
+        m_kernel.ends->record_broken_run({{send.upstream->identity, send.upstream->born},
+                                          send.upstream->address,
+                                          context.log_id(),
+                                          digest});
 }
 
 } // namespace cypressford
--- a/src/libserve/suspects/end_watch.cpp
+++ b/src/libserve/suspects/end_watch.cpp
@@ -26,18 +26,18 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// All connections of a process close when it ends: its runs at one daemon were seen to
-/// break off within 2 ms of each other.
-constexpr std::chrono::milliseconds kSettle {20};
-/// A node of another hall that is up answers in a few milliseconds.
-constexpr Micros kProbeLimit = 250 * kMillisecond;
+/// Time to collect the broken runs of an upstream.  All connections of a process close when
+/// it ends: its runs at one daemon break off within 2 ms of each other.
+constexpr std::chrono::milliseconds kCollectionTime {20};
+/// A reachable node of another hall answers in a few milliseconds.
+constexpr Micros kProbeTimeout = 250 * kMillisecond;
 
 } // namespace
 
 void
-EndWatch::note(BrokenRun run)
+EndWatch::record_broken_run(BrokenRun run)
 {
-    asio::post(m_io, [this, run = std::move(run)]() mutable { take(std::move(run)); });
+    asio::post(m_io, [this, run = std::move(run)]() mutable { add(std::move(run)); });
 }
 
 void
@@ -50,22 +50,22 @@
 }
 
 void
-EndWatch::take(BrokenRun run)
+EndWatch::add(BrokenRun run)
 {
     const auto [it, is_first] = m_broken.try_emplace(run.upstream);
     if (is_first)
-        asio::co_spawn(m_io, look(run.upstream, run.address), asio::detached);
+        asio::co_spawn(m_io, check_ended(run.upstream, run.address), asio::detached);
     it->second.push_back(std::move(run));
 }
 
 asio::awaitable<void>
-EndWatch::look(UpstreamRun upstream, std::string address)
+EndWatch::check_ended(UpstreamRun upstream, std::string address)
 {
     BootTimer timer(m_io);
-    timer.expires_after(kSettle);
+    timer.expires_after(kCollectionTime);
     co_await timer.async_wait(kToTuple);
     const PortState state
-        = co_await probe_port(m_io, address, monotonic_us() + kProbeLimit);
+        = co_await probe_port(m_io, address, monotonic_us() + kProbeTimeout);
     const std::vector<BrokenRun> broken = std::exchange(m_broken[upstream], {});
     m_broken.erase(upstream);
     LogEvent(state == PortState::Refused ? "upstream_ended" : "upstream_not_ended",
--- a/src/libserve/suspects/end_watch.h
+++ b/src/libserve/suspects/end_watch.h
@@ -15,16 +15,17 @@
 
 namespace cypressford {
 
-/// A run of a request that broke off because its upstream closed the connection.
+/// A run of a request that was interrupted because its upstream closed the connection.
 struct BrokenRun {
     UpstreamRun upstream;
     std::string address; ///< of the upstream, "ip:port"
-    std::string request; ///< as logs call it
+    std::string request; ///< id in logs
     RequestDigest digest;
 };
 
-/// Finds out whether upstreams that broke runs off have ended or have closed connections
-/// only: an upstream that has ended listens no more.  Lives on the control thread.
+/// Determines whether upstreams that interrupted runs have ended or have only closed
+/// connections, by a probe of the port: an upstream that has ended refuses connections.
+/// Lives on the control thread.
 class EndWatch {
 public:
     explicit EndWatch(boost::asio::io_context& io)
@@ -32,25 +33,25 @@
     {
     }
 
-    /// Called with each upstream that ended.
+    /// Called for each upstream that ended.
     void on_end(std::function<void(UpstreamEnd)> action) { m_on_end = std::move(action); }
-    /// Called with each suspect that was answered.
+    /// Called for each suspect that was answered in full.
     void on_answered(std::function<void(RequestDigest)> action)
     {
         m_on_answered = std::move(action);
     }
 
-    /// May be called from any thread, as the next one.
-    void note(BrokenRun run);
-    /// A suspect was answered whole.
+    /// Any thread may call this and record_answer().
+    void record_broken_run(BrokenRun run);
+    /// A suspect was answered in full.
     void note_answered(const RequestDigest& digest);
 
 private:
-    void take(BrokenRun run);
-    boost::asio::awaitable<void> look(UpstreamRun upstream, std::string address);
+    void add(BrokenRun run);
+    boost::asio::awaitable<void> check_ended(UpstreamRun upstream, std::string address);
 
     boost::asio::io_context& m_io;
-    /// Runs that broke off at upstreams that are being looked at.
+    /// Interrupted runs of upstreams that are being checked.
     std::map<UpstreamRun, std::vector<BrokenRun>> m_broken;
     std::function<void(UpstreamEnd)> m_on_end;
     std::function<void(RequestDigest)> m_on_answered;
--- a/src/libserve/suspects/suspect_writer.cpp
+++ b/src/libserve/suspects/suspect_writer.cpp
@@ -23,15 +23,16 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Ends that are found within it go into one record: one call for all engines that crash
-/// at a moment.  A fortieth of the shortest time within which others must know.
-constexpr Micros kGather = 50 * kMillisecond;
-/// Between attempts to write, doubled up to the longest.
-constexpr Micros kFirstPause = 200 * kMillisecond;
-constexpr Micros kLongestPause = 2 * kSecond;
-/// Between looks for records that count no longer, and how many go in one.
-constexpr Micros kTidyPace = 10 * kSecond;
-constexpr std::size_t kTidyAtOnce = 20;
+/// Ends that are found within this time go into one record: one call for all engines that
+/// crash at the same moment.  A fortieth of the shortest time within which the other
+/// daemons must have the record.
+constexpr Micros kGatherTime = 50 * kMillisecond;
+/// Delay between attempts to write, doubled up to the longest.
+constexpr Micros kFirstRetryDelay = 200 * kMillisecond;
+constexpr Micros kMaxRetryDelay = 2 * kSecond;
+/// Interval of the search for outdated records, and the most that are deleted in one.
+constexpr Micros kCleanupInterval = 10 * kSecond;
+constexpr std::size_t kMaxDeletionsPerCleanup = 20;
 
 } // namespace
 
@@ -39,7 +40,7 @@
                              DirectoryWatch& directory)
     : m_io(io)
     , m_directory(directory)
-    // No two records of a fleet have one key: the incarnation is drawn at random.
+    // Keys are unique in a fleet: the incarnation is drawn at random.
     , m_prefix(kernel.settings.node + "." + format_stamp(kernel.incarnation) + ".")
     , m_outbox(m_prefix)
 {
@@ -61,7 +62,7 @@
 }
 
 void
-SuspectWriter::tell_end(UpstreamEnd end)
+SuspectWriter::report_end(UpstreamEnd end)
 {
     SuspectOutbox::Entry& open = m_outbox.open(wall_ms());
     open.record.ends.push_back(std::move(end));
@@ -70,7 +71,7 @@
 }
 
 void
-SuspectWriter::tell_answered(const RequestDigest& digest)
+SuspectWriter::report_answered(const RequestDigest& digest)
 {
     SuspectOutbox::Entry& open = m_outbox.open(wall_ms());
     open.record.answered.push_back(digest);
@@ -89,10 +90,10 @@
 asio::awaitable<void>
 SuspectWriter::write_all()
 {
-    Micros rest = kFirstPause;
-    co_await pause(kGather);
+    Micros delay = kFirstRetryDelay;
+    co_await pause(kGatherTime);
     std::vector<DirectoryRecord> lost = m_directory.lost_suspects(m_prefix);
-    // Those that fail are tried again with the next news.
+    // Records that fail are tried again with the next report.
     (void)co_await write_again(std::move(lost));
     while (!m_outbox.empty()) {
         const SuspectOutbox::Entry& first = m_outbox.seal_first();
@@ -102,13 +103,13 @@
         if (written) {
             m_directory.note_suspects_written(first.key);
             m_outbox.drop_first();
-            rest = kFirstPause;
+            delay = kFirstRetryDelay;
             continue;
         }
-        co_await pause(rest);
-        rest = std::min(2 * rest, kLongestPause);
-        if (const std::size_t forgotten = m_outbox.trim(); forgotten > 0)
-            LogEvent("suspects_unwritten", LogLevel::Warn).kv("records", forgotten);
+        co_await pause(delay);
+        delay = std::min(2 * delay, kMaxRetryDelay);
+        if (const std::size_t dropped = m_outbox.trim(); dropped > 0)
+            LogEvent("suspects_unwritten", LogLevel::Warn).kv("records", dropped);
     }
     m_writing = false;
 }
@@ -127,21 +128,22 @@
     co_return true;
 }
 
-/// The root reader writes again what the log lost of daemons that are gone, and deletes for
-/// all what counts no longer, so that the directory keeps no more than daemons do.
+/// The root reader writes again the lost records of daemons that have ended, and deletes
+/// outdated records for all daemons, so that the directory keeps no more than daemons do.
 asio::awaitable<void>
 SuspectWriter::tidy()
 {
     for (;;) {
-        co_await pause(kTidyPace);
+        co_await pause(kCleanupInterval);
         std::vector<DirectoryRecord> lost = m_directory.lost_suspects_of_all();
         const bool all_written = co_await write_again(std::move(lost));
         if (!all_written)
             continue;
-        for (const std::string& key : m_directory.outdated_suspects(kTidyAtOnce)) {
-            DirectoryRecord nothing {key, {}};
+        for (const std::string& key :
+             m_directory.outdated_suspects(kMaxDeletionsPerCleanup)) {
+            DirectoryRecord deletion {key, {}};
             const auto deleted
-                = co_await m_directory.write(DirectoryTopic::Suspects, std::move(nothing));
+                = co_await m_directory.write(DirectoryTopic::Suspects, std::move(deletion));
             if (!deleted)
                 break;
         }
--- a/src/libserve/suspects/suspect_writer.h
+++ b/src/libserve/suspects/suspect_writer.h
@@ -13,8 +13,8 @@
 
 namespace cypressford {
 
-/// Tells all daemons, through the directory, under which requests upstreams ended and
-/// which of these were answered.  Lives on the control thread.
+/// Reports to all daemons, through the directory, the ends of upstreams with the requests
+/// that ran there, and the suspects that were answered.  Lives on the control thread.
 class SuspectWriter {
 public:
     SuspectWriter(boost::asio::io_context& io, const Kernel& kernel,
@@ -22,15 +22,15 @@
 
     void start();
 
-    /// An upstream ended.  In force here at once, elsewhere once it is written.
-    void tell_end(UpstreamEnd end);
-    /// A suspect was answered whole.
-    void tell_answered(const RequestDigest& digest);
+    /// An upstream ended.  In force here at once, elsewhere once the record is written.
+    void report_end(UpstreamEnd end);
+    /// A suspect was answered in full.
+    void report_answered(const RequestDigest& digest);
 
 private:
     void begin_writing();
     boost::asio::awaitable<void> write_all();
-    /// False once a call failed.
+    /// False if a call failed; the records behind it are not written.
     boost::asio::awaitable<bool> write_again(std::vector<DirectoryRecord> records);
     boost::asio::awaitable<void> tidy();
     boost::asio::awaitable<void> pause(Micros time);
@@ -39,7 +39,7 @@
     DirectoryWatch& m_directory;
     const std::string m_prefix; ///< of this daemon's keys
     SuspectOutbox m_outbox;
-    bool m_writing = false; ///< write_all() runs
+    bool m_writing = false; ///< write_all() is running
 };
 
 } // namespace cypressford
