--- a/src/include/cypressford/call_dialect.h
+++ b/src/include/cypressford/call_dialect.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Interface of call-dialect plug-ins: how callers and upstreams of relayed
-/// pipelines spell what the product has to know.
+/// Interface of call-dialect plug-ins: how callers and upstreams of relayed pipelines
+/// encode the fields that the product reads or sets.
 
 #pragma once
 
@@ -20,51 +20,51 @@
 
 namespace cypressford {
 
-/// One part of a prompt, as upstreams may keep it.
+/// One part of a prompt; upstreams may cache it.
 struct PrefixPart {
     std::uint64_t id = 0;
     std::int64_t tokens = 0;
 };
 
-/// What a caller's request says besides its bytes.
+/// Metadata of a caller's request.
 struct CallerCall {
-    std::string attempt; ///< the caller's id for this request; never sent twice by it
+    std::string attempt; ///< the caller's id of this request; never reused
     std::string host; ///< without a port
     std::optional<Micros> time_left; ///< how long the caller waits
     std::string credential;
-    std::string last_event; ///< the stream is to go on behind this event
+    std::string last_event; ///< id of the event after which the stream is to resume
     std::vector<PrefixPart> prefix;
     std::int64_t tokens_in = 0;
     std::int64_t tokens_out = 0; ///< at most
-    std::vector<int> pieces; ///< by piece stage
-    std::string piece_key; ///< stands for the request at upstreams that make pieces
+    std::vector<int> pieces; ///< number of pieces, by piece stage
+    std::string piece_key; ///< identifies the request at upstreams that make pieces
 };
 
-/// What an upstream is told besides the caller's bytes.
+/// What a call to an upstream contains besides the caller's bytes.
 struct ForwardedCall {
-    std::string identity; ///< of the upstream that is meant
+    std::string identity; ///< of the upstream that is addressed
     std::string account;
     Micros time_left = 0;
     int priority = 0;
-    std::vector<std::string> inputs; ///< results of pieces that it is to read
-    std::string last_event; ///< the stream is to go on behind this event
+    std::vector<std::string> inputs; ///< handles of piece results that the upstream reads
+    std::string last_event; ///< id of the event after which the stream is to resume
 };
 
-/// What an upstream's answer says of itself.
+/// What an upstream's answer reports of the call and of the upstream.
 struct UpstreamAnswer {
     std::string attempt; ///< the request that it answers
     bool is_signed = false;
-    bool not_run = false; ///< the upstream promises that it did not run the request
-    bool other_identity = false; ///< not the upstream that was meant; not run
-    bool input_gone = false; ///< not run, since a result it was to read is gone
-    bool is_encoded = false; ///< the body is not as the upstream made it
-    Micros cold_left = 0; ///< the upstream is cold for so long yet
-    bool leaves = false; ///< the upstream that was meant says that it is leaving
-    Micros rest = 0; ///< it turned the call away and wants nothing from us for so long
-    bool rest_unread = false; ///< it names such a time, in a way that can't be read
-    /// Requests a second that it takes from all daemons together; nothing: it names none.
+    bool not_run = false; ///< the upstream guarantees that it did not run the request
+    bool identity_mismatch = false; ///< from another upstream than addressed; not run
+    bool input_gone = false; ///< not run, because a result that it reads no longer exists
+    bool is_encoded = false; ///< not as the upstream made it: has a content encoding
+    Micros cold_left = 0; ///< how much longer the upstream is cold
+    bool leaves = false; ///< the upstream reports that it is leaving
+    Micros rest = 0; ///< back-off of an upstream that refused the call; 0: none
+    bool backoff_unreadable = false; ///< a back-off is given, but can't be parsed
+    /// Requests a second that it accepts from all daemons together; empty: no limit given.
     std::optional<double> limit_per_s;
-    bool limit_unread = false; ///< it names a limit, in a way that can't be read
+    bool limit_unreadable = false; ///< a limit is given, but can't be parsed
 };
 
 /// One piece of one request, as it goes to an upstream.
@@ -77,11 +77,11 @@
     std::vector<std::string> inputs; ///< results of the stages that it needs
 };
 
-/// What became of one piece.
+/// Outcome of one piece.
 enum class PieceOutcome : unsigned char {
     Made,
-    Late, ///< its time was over before its turn came
-    InputGone, ///< a result that it was to read is gone
+    Late, ///< its deadline passed while it was queued
+    InputGone, ///< a result that it reads no longer exists
     NoMemory, ///< no upstream had memory for its result
     Failed,
     NoRetry ///< one call failed, and the retry limit allows no other
@@ -92,7 +92,7 @@
 
 struct PieceResult {
     PieceOutcome outcome = PieceOutcome::Failed;
-    std::string handle; ///< made: names the result
+    std::string handle; ///< of the result, if it was made
 };
 
 class CallDialect {
@@ -103,7 +103,7 @@
     virtual HttpRequest forward(const HttpRequest& request, const ForwardedCall& call) const
         = 0;
     virtual UpstreamAnswer read_answer(const HttpResponse& response) const = 0;
-    /// Tells the caller of a refusal when to come back, as finely as it reads that.
+    /// Sets the time after which the caller may retry, in the finest unit that it reads.
     virtual void set_retry_after(HttpResponse& response, Micros after) const = 0;
 
     virtual HttpRequest piece_call(std::string_view identity,
@@ -113,8 +113,8 @@
     virtual Result<std::vector<PieceResult>>
     decode_piece_call(const HttpResponse& response) const = 0;
     virtual HttpRequest free_results(std::span<const std::string> handles) const = 0;
-    /// "ip:port" of the upstream that keeps a result.
-    virtual std::string keeper_of(std::string_view handle) const = 0;
+    /// "ip:port" of the upstream that holds a result.
+    virtual std::string holder_of(std::string_view handle) const = 0;
 };
 
 } // namespace cypressford
--- a/src/include/cypressford/platform.h
+++ b/src/include/cypressford/platform.h
@@ -21,7 +21,7 @@
     std::string log; ///< "ip:port"
     std::string nodes; ///< "ip:port"
     std::string hall; ///< of this daemon
-    Micros timeout = 2 * kSecond; ///< for one append or one look at the list
+    Micros timeout = 2 * kSecond; ///< for one append or one read of the node list
 };
 
 /// Records of a stream, from one offset on.
@@ -44,12 +44,12 @@
 
     virtual void open(boost::asio::io_context& io, const PlatformSettings& settings) = 0;
 
-    /// Appends one record.  An error does not say that it had no effect.
+    /// Appends one record.  After an error the record may still have been appended.
     virtual boost::asio::awaitable<Result<Offset>> append(std::string stream,
                                                           std::string record)
         = 0;
 
-    /// Reads on from an offset; waits up to `wait` for a first record.
+    /// Reads from an offset on; waits up to `wait` for the first record.
     virtual boost::asio::awaitable<Result<LogPage>> read(std::string stream, Offset from,
                                                          Micros wait)
         = 0;
--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -111,7 +111,7 @@
     BytesByHall bytes;
     for (const std::string& handle : handles) {
         const std::size_t stage = plan.stage_of(handle);
-        const std::string hall = hall_of(set_of(stage), dialect.keeper_of(handle));
+        const std::string hall = hall_of(set_of(stage), dialect.holder_of(handle));
         bytes[hall] += resolved().spec.piece_stages[stage].result_bytes;
     }
     return bytes;
--- a/src/libserve/pieces/piece_maker.cpp
+++ b/src/libserve/pieces/piece_maker.cpp
@@ -353,7 +353,7 @@
     PieceQueue& queue = line_of(set_name).queue;
     const Micros now = monotonic_us();
     const bool answered = status == CallStatus::Answered;
-    if (answered && said.other_identity)
+    if (answered && said.identity_mismatch)
         call.upstream->mark_leaving();
     else if (answered && said.not_run)
         queue.back_off(*call.upstream, now + kBackOffWhenFull);
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -45,7 +45,7 @@
 {
     std::map<std::string, Releases> by_keeper;
     for (const std::string& handle : releases.handles) {
-        Releases& at_keeper = by_keeper[m_kernel.calls->keeper_of(handle)];
+        Releases& at_keeper = by_keeper[m_kernel.calls->holder_of(handle)];
         at_keeper.upstream_set = releases.upstream_set;
         at_keeper.handles.push_back(handle);
     }
--- a/src/libserve/relay/attempt.cpp
+++ b/src/libserve/relay/attempt.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Calls to upstreams, and what their ends mean.
+/// Calls to upstreams, and the status of an attempt by the end of its call.
 
 #include "libserve/entry/worker.h"
 
@@ -28,7 +28,7 @@
     kServerError = 500
 };
 
-/// What an answer other than 200 says about the call.
+/// Status of an attempt by an answer other than 200.
 AttemptStatus
 status_of(const HttpResponse& response)
 {
@@ -142,8 +142,8 @@
 {
     CallOptions options;
     options.handle = handle;
-    // A call that may not be repeated is never cut short: its answer is wanted
-    // even after the caller's deadline.
+    // A call that must not be repeated is never cut short: its answer is needed even after
+    // the caller's deadline.
     const Micros extra = send.may_repeat ? 0 : m_kernel.settings.scheduler.detached_limit;
     options.deadline_us = send.deadline + extra;
     options.fresh_connection = !send.may_repeat;
@@ -163,7 +163,7 @@
     auto output = kind.decode(result.response);
     if (!output)
         co_return AttemptStatus::Failed;
-    // A hedge that lost the race must not overwrite what came first.
+    // A hedge that lost the race must not overwrite the winner's output.
     if (!handle->cancelled())
         context->input = *std::move(output);
     co_return AttemptStatus::Ok;
@@ -183,7 +183,7 @@
     const auto decoder = kind.stream_decoder();
     if (!decoder)
         co_return AttemptStatus::NotSent;
-    bool sound = true;
+    bool is_consistent = true;
     CallOptions options;
     options.handle = handle;
     options.deadline_us = send.deadline;
@@ -191,7 +191,7 @@
         = [&] { return begin_call(*send.upstream, send.count, monotonic_us()); };
     options.on_chunk = [&](std::string_view piece) {
         if (!handle->cancelled())
-            sound = sound && take_tokens(*context, decoder->feed(piece));
+            is_consistent = is_consistent && take_tokens(*context, decoder->feed(piece));
     };
     const CallResult result
         = co_await m_client.call(send.upstream->address, kind.encode(call), options);
@@ -204,15 +204,15 @@
         co_return AttemptStatus::NotSent;
     if (result.status == CallStatus::Answered && result.response.status != kOk)
         co_return status_of(result.response);
-    if (result.status == CallStatus::Lost || !decoder->finished() || !sound)
+    if (result.status == CallStatus::Lost || !decoder->finished() || !is_consistent)
         co_return AttemptStatus::Lost;
     if (!handle->cancelled())
         context->input = join(context->tokens);
     co_return AttemptStatus::Ok;
 }
 
-/// Adds tokens that follow what is there; false if one is missing or, in a text
-/// made anew, differs from what the caller has.
+/// Appends tokens behind those already received and skips repeated ones; false if a token
+/// is missing.
 bool
 Worker::take_tokens(RequestContext& context, std::vector<StreamToken> tokens)
 {
--- a/src/libserve/relay/event_splitter.h
+++ b/src/libserve/relay/event_splitter.h
@@ -11,12 +11,12 @@
 
 namespace cypressford {
 
-/// Takes a stream of server-sent events apart, so that only whole events are
-/// passed on and a stream can go on behind the last of them at another upstream.
+/// Splits a stream of server-sent events, so that only complete events are passed on and
+/// the stream can resume after the last of them at another upstream.
 class EventSplitter {
 public:
-    /// Appends the events that are whole after this piece to `out`; false if their
-    /// ids do not rise.
+    /// Appends the events that this chunk completes to `out`; false if their ids do not
+    /// increase.
     bool feed(std::string_view piece, std::string& out)
     {
         m_partial += piece;
@@ -32,11 +32,11 @@
         }
     }
 
-    /// Forgets a piece of an event that will not be finished.
+    /// Drops an incomplete event.
     void drop_partial() { m_partial.clear(); }
     bool has_partial() const { return !m_partial.empty(); }
 
-    /// Id of the last whole event; empty before the first.
+    /// Id of the last complete event; empty before the first.
     const std::string& last_id() const { return m_last_id; }
 
 private:
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Relayed requests: the caller's bytes go to an upstream and the upstream's come
-/// back unchanged.  What is sent where, and how often, is the scheduler's.
+/// Relayed requests: the caller's bytes go to an upstream, and the upstream's answer goes
+/// back unchanged.  The scheduler decides the upstream and the number of attempts.
 
 #include "libserve/entry/worker.h"
 
@@ -24,15 +24,15 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Between looks whether a daemon that stood still has read again what changed.
-constexpr std::chrono::milliseconds kCatchUpStep {5};
-/// A call with less time left than this is not sent.
-constexpr Micros kLeastTime = 5 * kMillisecond;
-/// A connection that does not come up within this is closed: nothing was sent.
-constexpr Micros kConnectTime = 250 * kMillisecond;
-/// Kept connections that rested longer are not used for what may run once only:
-/// the far side may be closing them just now.
-constexpr Micros kIdleLimitOfOnce = 1 * kSecond;
+/// Interval of the checks whether a daemon that was suspended has read the changes since.
+constexpr std::chrono::milliseconds kCatchUpInterval {5};
+/// A call with less time left is not sent.
+constexpr Micros kMinCallTime = 5 * kMillisecond;
+/// A connection that is not established within this time is closed, with nothing sent.
+constexpr Micros kConnectTimeout = 250 * kMillisecond;
+/// Connections that were idle for longer are not used for calls that must not be repeated:
+/// the upstream may be closing them at the same time.
+constexpr Micros kMaxIdleUnrepeatable = 1 * kSecond;
 
 enum HttpStatus : int {
     kFirstSuccess = 200,
@@ -50,32 +50,32 @@
     return status >= kFirstSuccess && status < kFirstRedirect;
 }
 
-/// Statuses that promise that nothing ran.
+/// Statuses that guarantee that the request did not run.
 bool
-promises_not_run(int status)
+guarantees_not_run(int status)
 {
     return status == kRequestTimeout || status == kMisdirected || status == kTooMany
         || status == kUnavailable;
 }
 
-/// An upstream's answer as the caller gets it.
+/// An upstream's answer as it is sent to the caller.
 HttpResponse
-passed_on(HttpResponse response)
+relayed_response(HttpResponse response)
 {
     response.content_type.clear();
     remove_connection_fields(response.headers);
     return response;
 }
 
-/// The part of a prompt that several requests share and that is longest: sessions
-/// and subjects keep to one upstream by it.
+/// Id of the longest part of the prompt that several requests share: requests of a session
+/// or subject are sent to the same upstream by it.
 std::uint64_t
 affinity_of(const CallerCall& call)
 {
     return call.prefix.size() < 2 ? 0 : call.prefix[call.prefix.size() - 2].id;
 }
 
-/// Tokens that come before the part of the prompt that is the request's own.
+/// Tokens of the prompt before the part that belongs to this request alone.
 std::int64_t
 shared_tokens_of(const CallerCall& call)
 {
@@ -94,7 +94,7 @@
         if (it != snapshot.bundle->account_by_digest.end())
             return it->second;
     }
-    // Without accounts there are no credentials to ask for.
+    // If no accounts are configured, there are no credentials to require.
     if (spec.anonymous || snapshot.bundle->accounts.size() == 1)
         return snapshot.bundle->nobody;
     return fail(ErrorKind::Unauthorized);
@@ -106,18 +106,18 @@
 Worker::apply_limits()
 {
     const SnapshotPtr snapshot = m_kernel.snapshot.load();
-    const CallerLimits given = snapshot ? snapshot->bundle->limits : CallerLimits {};
+    const CallerLimits configured = snapshot ? snapshot->bundle->limits : CallerLimits {};
     HttpLimits limits = m_kernel.reloaded.load()->limits;
     const auto duration
         = [](Micros time) { return std::chrono::milliseconds(time / kMillisecond); };
-    if (given.header_bytes > 0)
-        limits.header_bytes = given.header_bytes;
-    if (given.body_bytes > 0)
-        limits.body_bytes = given.body_bytes;
-    if (given.header_time > 0)
-        limits.header_time = duration(given.header_time);
-    if (given.idle_time > 0)
-        limits.idle_time = duration(given.idle_time);
+    if (configured.header_bytes > 0)
+        limits.header_bytes = configured.header_bytes;
+    if (configured.body_bytes > 0)
+        limits.body_bytes = configured.body_bytes;
+    if (configured.header_time > 0)
+        limits.header_time = duration(configured.header_time);
+    if (configured.idle_time > 0)
+        limits.idle_time = duration(configured.idle_time);
     m_server.set_limits(limits);
 }
 
@@ -127,24 +127,24 @@
     note_progress();
     while (m_kernel.is_catching_up(monotonic_us())) {
         BootTimer timer(m_io);
-        timer.expires_after(kCatchUpStep);
+        timer.expires_after(kCatchUpInterval);
         co_await timer.async_wait(kToTuple);
     }
-    auto made = make_relay(exchange.request());
-    if (!made) {
-        ++m_metrics.requests[{"-", std::string(error_row(made.error().kind).name)}];
+    auto created = make_relay(exchange.request());
+    if (!created) {
+        ++m_metrics.requests[{"-", std::string(error_row(created.error().kind).name)}];
         const auto call = m_kernel.calls->read_call(exchange.request());
         const SnapshotPtr snapshot = m_kernel.snapshot.load();
         LogEvent("request_refused")
             .kv("request", call ? call->attempt : "")
             .kv("version", snapshot ? snapshot->bundle->version : 0)
             .kv("target", exchange.request().path())
-            .kv("kind", error_row(made.error().kind).name)
-            .kv("why", made.error().detail);
-        co_await exchange.respond(refusal(made.error()));
+            .kv("kind", error_row(created.error().kind).name)
+            .kv("why", created.error().detail);
+        co_await exchange.respond(refusal(created.error()));
         co_return;
     }
-    const ContextPtr context = *made;
+    const ContextPtr context = *created;
     LogEvent("request_begin")
         .kv("request", context->log_id())
         .kv("pipeline", context->pipeline)
@@ -215,7 +215,7 @@
     return response;
 }
 
-/// The answer to a request that failed.
+/// The response for a request that failed.
 HttpResponse
 Worker::relayed_problem(const RequestContext& context) const
 {
@@ -252,7 +252,7 @@
                        : failed         ? error_row(*context->reply->error).name
                                         : "ok");
     if (context->caller_gone || (failed && begun)) {
-        // A stream that broke off must not look whole.
+        // An interrupted stream must not look complete to the caller.
         exchange.drop();
     } else if (failed) {
         co_await exchange.respond(relayed_problem(*context));
@@ -292,7 +292,7 @@
     return call;
 }
 
-/// One call to an upstream, while it is under way.
+/// State of one call to an upstream.
 struct Worker::RelayedCall {
     RelayedCall(const SendAttempt& send_, ContextPtr context_,
                 std::shared_ptr<CallHandle> handle_)
@@ -306,16 +306,16 @@
     const ContextPtr context;
     const std::shared_ptr<CallHandle> handle;
     const Micros sent_at = monotonic_us();
-    UpstreamAnswer answer; ///< as its head tells; empty before
-    bool sound = true; ///< the stream so far is what an upstream makes
+    UpstreamAnswer answer; ///< read from the head; empty before it arrives
+    bool stream_valid = true; ///< signed, not encoded, with rising event ids so far
 
     Relay& relay() const { return *context->relay; }
     bool streams() const { return context->resolved().spec.stream; }
 };
 
-/// Asked at the door and again before each send: a request waits for pieces, slots and the
-/// end of a rest meanwhile (without this, 8 to 9 runs of 6 that waited followed once all
-/// daemons knew; ending_requests).
+/// Checked on arrival and again before each send, since a request waits meanwhile for
+/// pieces, slots and the end of a back-off (without the second check, 8 to 9 more runs by 6
+/// waiting requests followed after all daemons had the quarantine; ending_requests).
 bool
 Worker::is_quarantined(const RelayedCall& call)
 {
@@ -327,12 +327,12 @@
 Worker::begin_relayed_stream(RelayedCall& call, const HttpResponse& head)
 {
     Relay& relay = call.relay();
-    call.sound = call.answer.is_signed && !call.answer.is_encoded;
+    call.stream_valid = call.answer.is_signed && !call.answer.is_encoded;
     relay.events.drop_partial();
-    if (!call.sound || call.handle->cancelled())
+    if (!call.stream_valid || call.handle->cancelled())
         return;
     if (!relay.head)
-        relay.head = passed_on(head);
+        relay.head = relayed_response(head);
     relay.first_byte = monotonic_us() - call.sent_at;
     call.context->resolved().state->note_first_byte(relay.first_byte);
     if (call.context->spec.asks_leader)
@@ -348,16 +348,16 @@
     CallOptions options;
     options.handle = call.handle;
     options.deadline_us = send.deadline;
-    options.connect_deadline_us = monotonic_us() + kConnectTime;
+    options.connect_deadline_us = monotonic_us() + kConnectTimeout;
     options.resend_if_stale = false;
     options.send_clock = false;
-    options.max_idle_us = send.may_repeat ? 0 : kIdleLimitOfOnce;
+    options.max_idle_us = send.may_repeat ? 0 : kMaxIdleUnrepeatable;
     options.may_send = [this, &call] {
         return !is_quarantined(call)
             && begin_call(*call.send.upstream, call.send.count, monotonic_us());
     };
-    // What the upstream says of itself counts whatever becomes of the call: it may be
-    // cancelled, or break off after its head.
+    // The upstream's report of its own state is recorded whatever becomes of the call: the
+    // call may be cancelled, or break off after the head.
     options.on_answer = [this, &call](const HttpResponse& head, Micros connected) {
         call.answer = m_kernel.calls->read_answer(head);
         hear(*call.send.upstream, call.answer,
@@ -373,15 +373,15 @@
     options.on_head
         = [this, &call](const HttpResponse& head) { begin_relayed_stream(call, head); };
     options.on_chunk = [&call](std::string_view piece) {
-        if (!call.sound || call.handle->cancelled())
+        if (!call.stream_valid || call.handle->cancelled())
             return;
-        call.sound = call.relay().events.feed(piece, call.relay().unsent);
+        call.stream_valid = call.relay().events.feed(piece, call.relay().unsent);
         call.context->changed.cancel();
     };
     return options;
 }
 
-/// What the end of a call means, and what of its answer the caller gets.
+/// Determines the status of a call that has ended, and stores the answer for the caller.
 AttemptStatus
 Worker::take_answer(const RelayedCall& call, CallResult result)
 {
@@ -399,26 +399,28 @@
     }
     if (answer.input_gone)
         return AttemptStatus::InputGone;
-    if (answer.other_identity)
+    if (answer.identity_mismatch)
         return AttemptStatus::Leaving;
-    if (answer.not_run && promises_not_run(response.status))
+    if (answer.not_run && guarantees_not_run(response.status))
         return AttemptStatus::Overloaded;
-    // Of a call that was cancelled, nothing was taken.
+    // Nothing is taken from the answer to a cancelled call.
     if (call.handle->cancelled())
         return AttemptStatus::Lost;
     if (is_success(response.status)) {
         if (call.streams() && response.status == kFirstSuccess) {
-            const bool whole = call.sound && relay.head && !relay.events.has_partial();
-            return whole ? AttemptStatus::Ok : AttemptStatus::Lost;
+            const bool complete
+                = call.stream_valid && relay.head && !relay.events.has_partial();
+            return complete ? AttemptStatus::Ok : AttemptStatus::Lost;
         }
         if (!answer.is_signed || answer.is_encoded)
             return AttemptStatus::Lost;
-        relay.answer = passed_on(std::move(result.response));
+        relay.answer = relayed_response(std::move(result.response));
         return AttemptStatus::Ok;
     }
-    // Without its promise, such a status must not reach the caller.
-    if (!promises_not_run(response.status))
-        relay.failure = passed_on(response);
+    // Such a status guarantees that nothing ran; without the upstream's own guarantee it
+    // must not reach the caller.
+    if (!guarantees_not_run(response.status))
+        relay.failure = relayed_response(response);
     return response.status >= kServerError ? AttemptStatus::Failed
                                            : AttemptStatus::Rejected;
 }
@@ -428,7 +430,7 @@
                      std::shared_ptr<CallHandle> handle)
 {
     const ForwardedCall forwarded = forwarded_call(send, *context);
-    if (forwarded.time_left < kLeastTime)
+    if (forwarded.time_left < kMinCallTime)
         co_return AttemptStatus::NotSent;
     RelayedCall call(send, context, std::move(handle));
     HttpRequest request = m_kernel.calls->forward(context->relay->request, forwarded);
--- a/src/libserve/upstream_says.cpp
+++ b/src/libserve/upstream_says.cpp
@@ -22,11 +22,11 @@
     if (answer.rest > 0)
         said.note_rest(now + answer.rest, connected_ms);
     // One that can't be read says neither that there is a limit nor that there is none.
-    const bool is_clear = answer.limit_per_s || !answer.limit_unread;
+    const bool is_clear = answer.limit_per_s || !answer.limit_unreadable;
     const bool limit_changed
         = is_clear && said.note_limit(answer.limit_per_s, origin.sent, now, connected_ms);
-    const bool is_new_fault = answer.limit_unread && said.note_unread_limit();
-    if (!answer.leaves && answer.rest == 0 && !answer.rest_unread && !limit_changed
+    const bool is_new_fault = answer.limit_unreadable && said.note_unread_limit();
+    if (!answer.leaves && answer.rest == 0 && !answer.backoff_unreadable && !limit_changed
         && !is_new_fault)
         return;
     LogEvent("upstream_says")
@@ -35,10 +35,10 @@
         .kv("born", upstream.born)
         .kv("leaves", answer.leaves)
         .kv("rest_us", answer.rest)
-        .kv("rest_unread", answer.rest_unread)
+        .kv("rest_unread", answer.backoff_unreadable)
         .kv("limit_per_s", said.limit().per_s())
         .kv("limit_before", limit_before)
-        .kv("limit_unread", answer.limit_unread)
+        .kv("limit_unread", answer.limit_unreadable)
         .kv("call", origin.call);
 }
 
