--- a/src/libserve/daemon.cpp
+++ b/src/libserve/daemon.cpp
@@ -62,7 +62,7 @@
                     [this] { return hall.is_chosen("placement", kPlacementCandidates); })
     {
         kernel.claims = &claims;
-        bundles.on_news([this] { hall.tell_everyone(); });
+        bundles.on_update([this] { hall.exchange_with_all(); });
         platform->open(io, kernel.settings.platform);
     }
 
@@ -106,10 +106,11 @@
         pieces = std::make_unique<PieceService>(workers.front()->io(), kernel);
         kernel.pieces = pieces.get();
         kernel.on_standstill
-            = [this] { asio::post(control, [this] { directory->note_standstill(); }); };
+            = [this] { asio::post(control, [this] { directory->on_resumed(); }); };
         kernel.on_peer_lost = [this](std::string address) {
-            asio::post(control,
-                       [this, lost = std::move(address)] { directory->report_lost(lost); });
+            asio::post(control, [this, lost = std::move(address)] {
+                directory->report_unreachable(lost);
+            });
         };
         directory->on_unreachable([this](std::set<std::string> addresses) {
             pieces->take_unreachable(std::move(addresses));
--- a/src/libserve/directory/directory_feed_server.cpp
+++ b/src/libserve/directory/directory_feed_server.cpp
@@ -19,8 +19,8 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// No question waits longer, whatever it says.
-constexpr Micros kMaxHold = 5 * kSecond;
+/// Upper limit of the time that a query is held, whatever time it requests.
+constexpr Micros kMaxHoldTime = 5 * kSecond;
 
 } // namespace
 
@@ -43,9 +43,9 @@
 }
 
 void
-DirectoryFeedServer::note_news()
+DirectoryFeedServer::wake_held_queries()
 {
-    for (BootTimer* timer : m_waiting)
+    for (BootTimer* timer : m_hold_timers)
         timer->cancel();
 }
 
@@ -63,27 +63,28 @@
     if (query->joiner)
         m_view.meet(*query->joiner, monotonic_us());
     for (const std::string& address : query->lost)
-        if (m_on_lost)
-            m_on_lost(address);
+        if (m_on_unreachable_reported)
+            m_on_unreachable_reported(address);
     const Micros asked_at = monotonic_us();
-    const Micros until = asked_at + std::min(query->wait, kMaxHold);
+    const Micros hold_until = asked_at + std::min(query->wait, kMaxHoldTime);
     BootTimer timer(m_io);
-    bool gone = false;
-    exchange.watch([&gone, &timer] {
-        gone = true;
+    bool disconnected = false;
+    exchange.watch([&disconnected, &timer] {
+        disconnected = true;
         timer.cancel();
     });
     const auto time_to_wait = [&]() -> Micros {
         const Micros now = monotonic_us();
         if (query->joiner)
-            return std::min(until - now, m_view.time_until_refer(now));
-        return m_view.must_answer(*query) ? 0 : until - now;
+            return std::min(hold_until - now, m_view.time_until_refer(now));
+        return m_view.must_answer(*query) ? 0 : hold_until - now;
     };
-    for (Micros rest = time_to_wait(); !gone && rest > 0; rest = time_to_wait()) {
-        timer.expires_after(std::chrono::microseconds(rest));
-        m_waiting.insert(&timer);
+    for (Micros delay = time_to_wait(); !disconnected && delay > 0;
+         delay = time_to_wait()) {
+        timer.expires_after(std::chrono::microseconds(delay));
+        m_hold_timers.insert(&timer);
         co_await timer.async_wait(kToTuple);
-        m_waiting.erase(&timer);
+        m_hold_timers.erase(&timer);
     }
     FeedAnswer answer = m_view.answer_to(*query, monotonic_us());
     answer.held = monotonic_us() - asked_at;
--- a/src/libserve/directory/directory_feed_server.h
+++ b/src/libserve/directory/directory_feed_server.h
@@ -17,8 +17,8 @@
 
 namespace cypressford {
 
-/// Tells other daemons of the hall what this one knows of the directory.  A question
-/// waits for news.  Lives on the control thread.
+/// Serves this daemon's view of the directory to the other daemons of the hall.  A query is
+/// held until there are changes.  Lives on the control thread.
 class DirectoryFeedServer {
 public:
     static constexpr const char* kPath = "/directory/feed";
@@ -28,16 +28,16 @@
 
     Result<void> listen(const std::string& address);
 
-    /// Something that can't wait is new.
-    void note_news();
+    /// Wakes the held queries after a change that must be sent at once.
+    void wake_held_queries();
 
-    /// Called with addresses of daemons that did not answer an asker.
-    void on_lost(std::function<void(const std::string&)> action)
+    /// Called with addresses of daemons that did not answer a requester.
+    void on_unreachable_reported(std::function<void(const std::string&)> action)
     {
-        m_on_lost = std::move(action);
+        m_on_unreachable_reported = std::move(action);
     }
 
-    /// Called with what askers tell of the log's generation.
+    /// Called with the log generation that a query reports.
     void on_generation(std::function<void(LogGeneration)> action)
     {
         m_on_generation = std::move(action);
@@ -48,9 +48,9 @@
 
     boost::asio::io_context& m_io;
     DirectoryView& m_view;
-    std::function<void(const std::string&)> m_on_lost;
+    std::function<void(const std::string&)> m_on_unreachable_reported;
     std::function<void(LogGeneration)> m_on_generation;
-    std::set<BootTimer*> m_waiting;
+    std::set<BootTimer*> m_hold_timers; ///< one for each held query
     HttpServer m_server;
 };
 
--- a/src/libserve/directory/directory_store.cpp
+++ b/src/libserve/directory/directory_store.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-/// How long an answer may take to begin, beyond the time that the question waits.
-constexpr Micros kWaitLimit = 800 * kMillisecond;
-/// The same of a listing, for which all daemons that have just started may ask.
-constexpr Micros kListWaitLimit = 3 * kSecond;
-/// The same of a record that is written: they are taken one after the other, and those that
-/// would wait for over 2 s are turned away.
-constexpr Micros kAppendWaitLimit = 2500 * kMillisecond;
-/// Answers of so many bytes are logged: on a link of 10 Mbit/s they take 50 ms.
-constexpr std::size_t kLargeAnswer = 64 * 1024;
+/// Time for the first byte of an answer, beyond the time that the query is held.
+constexpr Micros kReadTimeout = 800 * kMillisecond;
+/// The same for a listing, which all daemons that have just started may request at once.
+constexpr Micros kListTimeout = 3 * kSecond;
+/// The same for a write: records are stored one at a time, and the directory rejects those
+/// that would wait for over 2 s.
+constexpr Micros kAppendTimeout = 2500 * kMillisecond;
+/// Answers of at least this size are logged: on a link of 10 Mbit/s they take 50 ms.
+constexpr std::size_t kLargeAnswerBytes = 64 * 1024;
 constexpr int kOk = 200;
 
 std::string_view
-name_of(CallStatus status)
+outcome_name(CallStatus status)
 {
     switch (status) {
     case CallStatus::Answered:
@@ -42,19 +42,19 @@
     return "lost";
 }
 
-/// Says of failed and of large answers how much came and how long that took.
+/// Logs size and duration of failed and of large answers.
 void
-log_call(DirectoryTopic topic, const CallResult& result, Micros took)
+log_call(DirectoryTopic topic, const CallResult& result, Micros duration)
 {
     const bool answered = result.status == CallStatus::Answered;
     const std::size_t bytes = result.response.body.size();
-    if (answered && bytes < kLargeAnswer)
+    if (answered && bytes < kLargeAnswerBytes)
         return;
     LogEvent("directory_call", answered ? LogLevel::Info : LogLevel::Warn)
         .kv("topic", to_string(topic))
-        .kv("outcome", name_of(result.status))
+        .kv("outcome", outcome_name(result.status))
         .kv("bytes", bytes)
-        .kv("us", took);
+        .kv("us", duration);
 }
 
 } // namespace
@@ -68,13 +68,13 @@
 
 asio::awaitable<HttpResponse>
 DirectoryStore::call(DirectoryTopic topic, std::string_view kind, HttpRequest request,
-                     Micros wait_limit)
+                     Micros timeout)
 {
     ++m_calls[std::string(kind) + "_" + std::string(to_string(topic))];
     m_kernel.directory_calls.fetch_add(1, std::memory_order_relaxed);
     CallOptions options;
     const Micros asked_at = monotonic_us();
-    options.deadline_us = asked_at + wait_limit;
+    options.deadline_us = asked_at + timeout;
     options.body = kLargeBody;
     options.send_clock = false;
     const CallResult result = co_await m_client.call(m_kernel.reloaded.load()->platform.log,
@@ -91,20 +91,20 @@
 DirectoryStore::note_generation(DirectoryTopic topic, const HttpResponse& response,
                                 Micros asked_at)
 {
-    const LogGeneration told = m_dialect->generation_of(response);
-    if (told == 0 || told == m_generation)
+    const LogGeneration reported = m_dialect->generation_of(response);
+    if (reported == 0 || reported == m_generation)
         return true;
     const bool is_late = m_generation != 0 && asked_at < m_generation_at;
-    if (is_late && told < m_generation)
+    if (is_late && reported < m_generation)
         return false;
     LogEvent("directory_generation", LogLevel::Warn)
-        .kv("generation", told)
+        .kv("generation", reported)
         .kv("before", m_generation)
         .kv("topic", to_string(topic));
-    m_generation = told;
+    m_generation = reported;
     m_generation_at = monotonic_us();
     if (m_on_generation)
-        m_on_generation(told);
+        m_on_generation(reported);
     return true;
 }
 
@@ -112,7 +112,7 @@
 DirectoryStore::newest(DirectoryTopic topic, std::string after)
 {
     auto page = m_dialect->decode_newest(
-        co_await call(topic, "list", m_dialect->newest(topic, after), kListWaitLimit));
+        co_await call(topic, "list", m_dialect->newest(topic, after), kListTimeout));
     co_return page;
 }
 
@@ -120,7 +120,7 @@
 DirectoryStore::read(DirectoryTopic topic, Offset from, Micros wait)
 {
     auto page = m_dialect->decode_read(co_await call(
-        topic, "read", m_dialect->read(topic, from, wait), wait + kWaitLimit));
+        topic, "read", m_dialect->read(topic, from, wait), wait + kReadTimeout));
     if (page && page->history_lost)
         LogEvent("directory_history_lost", LogLevel::Warn)
             .kv("topic", to_string(topic))
@@ -134,7 +134,7 @@
 {
     HttpRequest request = m_dialect->append(topic, record);
     const HttpResponse response
-        = co_await call(topic, "append", std::move(request), kAppendWaitLimit);
+        = co_await call(topic, "append", std::move(request), kAppendTimeout);
     if (response.status == kOk)
         co_return Result<void> {};
     LogEvent("directory_append_failed", LogLevel::Warn)
@@ -151,8 +151,8 @@
         return;
     LogEvent line("directory_calls");
     line.kv("role", role).kv("generation", m_generation);
-    for (const auto& [what, count] : std::exchange(m_calls, {}))
-        line.kv(what, count);
+    for (const auto& [kind_and_topic, count] : std::exchange(m_calls, {}))
+        line.kv(kind_and_topic, count);
 }
 
 } // namespace cypressford
--- a/src/libserve/directory/directory_watch.cpp
+++ b/src/libserve/directory/directory_watch.cpp
@@ -23,17 +23,17 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// A page of a listing is asked for so often before the listing begins anew.
-constexpr int kPageTries = 4;
-/// Between looks whether this daemon's first record may be written.
-constexpr Micros kPublishLook = 20 * kMillisecond;
-/// Between tries to write this daemon's record; doubles with each.
-constexpr Micros kPublishRetry = 1 * kSecond;
+/// Attempts to read one page before the listing is restarted.
+constexpr int kMaxPageAttempts = 4;
+/// Between checks whether this daemon's first record may be written.
+constexpr Micros kPublishPollInterval = 20 * kMillisecond;
+/// Between attempts to write this daemon's record; doubles after each failure.
+constexpr Micros kPublishRetryDelay = 1 * kSecond;
 constexpr int kMaxPublishDoublings = 3;
-/// Between log lines on the calls to the directory.
-constexpr Micros kReportPace = 10 * kSecond;
-/// Records that could not be read and are not logged again; 300 bytes each.
-constexpr std::size_t kMaxUnreadLogged = 256;
+/// Between log lines about the calls to the directory.
+constexpr Micros kCallReportInterval = 10 * kSecond;
+/// Invalid records that are remembered so as not to be logged again; 300 bytes each.
+constexpr std::size_t kMaxInvalidLogged = 256;
 
 } // namespace
 
@@ -41,50 +41,50 @@
     : m_io(io)
     , m_kernel(kernel)
     , m_store(io, kernel)
-    , m_peers(io)
+    , m_peer_client(io)
     , m_view(m_store.dialect(),
              DirectoryPace(kernel.settings.directory_bound,
                            kernel.settings.directory_heartbeat),
              kernel.settings.vanish_grace, kernel.settings.node, kernel.settings.hall,
              kernel.settings.directory_writes, monotonic_us())
-    , m_until_publish(io)
-    , m_without_reader(io)
+    , m_publish_timer(io)
+    , m_reader_poll_timer(io)
     , m_feed(io, kernel.settings.limits, m_view)
     , m_evacuations(kernel)
     , m_last_contact(monotonic_us())
 {
     for (const DirectoryTopic topic : DirectoryView::kTopics)
-        m_pauses.emplace(topic, io);
+        m_topic_timers.emplace(topic, io);
 }
 
 Result<void>
 DirectoryWatch::start()
 {
     const std::string& address = m_kernel.settings.feed_address;
-    m_store.on_generation([this](LogGeneration told) {
-        if (m_view.note_generation(told, monotonic_us()))
+    m_store.on_generation([this](LogGeneration reported) {
+        if (m_view.note_generation(reported, monotonic_us()))
             recover_from_restore("directory");
     });
-    m_feed.on_generation([this](LogGeneration told) { hear_generation(told); });
-    m_feed.on_lost([this](const std::string& lost) {
-        asio::co_spawn(m_io, check_peer(lost), asio::detached);
+    m_feed.on_generation([this](LogGeneration reported) { hear_generation(reported); });
+    m_feed.on_unreachable_reported([this](const std::string& peers_address) {
+        asio::co_spawn(m_io, check_peer(peers_address), asio::detached);
     });
     if (!address.empty())
         if (auto open = m_feed.listen(address); !open)
             return open;
     if (!address.empty() && !m_kernel.settings.peers.empty()) {
-        const std::vector<std::string> feeds = feeds_of_peers();
-        const bool is_peer
+        const std::vector<std::string> feeds = peer_feed_addresses();
+        const bool is_listed_peer
             = std::find(feeds.begin(), feeds.end(), m_kernel.settings.announced_feed)
             != feeds.end();
-        m_view.expect_referral(own_record(), is_peer);
+        m_view.expect_referral(own_record(), is_listed_peer);
         asio::co_spawn(m_io, join(), asio::detached);
     }
     for (const DirectoryTopic topic : DirectoryView::kTopics)
         asio::co_spawn(m_io, follow(topic), asio::detached);
     asio::co_spawn(m_io, publish_own(), asio::detached);
     asio::co_spawn(m_io, follow_reader(), asio::detached);
-    asio::co_spawn(m_io, report_calls(), asio::detached);
+    asio::co_spawn(m_io, log_calls_loop(), asio::detached);
     return {};
 }
 
@@ -124,44 +124,44 @@
 {
     const DaemonRecord record = own_record();
     // GCC 12 destroys braced temporaries of a co_await twice, so they get names.
-    // A daemon that stops takes its record back, so that none is left behind.
+    // A daemon that stops writes an empty value, which removes its record.
     const std::string value = m_kernel.stopping.load() ? std::string() : encode(record);
     DirectoryRecord entry {record.node, value};
-    // One that fails is logged there.
+    // append() logs a failure.
     const auto written = co_await m_store.append(DirectoryTopic::Daemons, std::move(entry));
-    if (written && !std::exchange(m_own_written, true))
-        m_pauses.at(DirectoryTopic::Daemons).cancel();
+    if (written && !std::exchange(m_own_record_stored, true))
+        m_topic_timers.at(DirectoryTopic::Daemons).cancel();
     co_return written.has_value();
 }
 
-/// The directory takes records one after the other, so that those of hundreds of daemons
-/// that start at once don't all find room: who is turned away comes again at a time of its
-/// own.
+/// The directory stores records one at a time, so some of the writes of hundreds of daemons
+/// that start at once are rejected.  A rejected daemon retries after a delay with jitter.
 asio::awaitable<void>
 DirectoryWatch::publish_own()
 {
     while (m_view.time_until_publish(monotonic_us()) > 0)
-        co_await pause(kPublishLook);
+        co_await pause(kPublishPollInterval);
     int failures = 0;
     while (!m_kernel.stopping.load()) {
         const bool written = co_await publish_once();
         failures = written ? 0 : failures + 1;
-        const Micros pace
+        const Micros interval
             = publish_pace(m_view.daemons().alive(), m_kernel.settings.directory_writes);
-        const Micros retry = kPublishRetry << std::min(failures - 1, kMaxPublishDoublings);
-        const Micros rest = written ? pace : std::min(pace, m_view.in_turn(retry));
-        m_until_publish.expires_after(std::chrono::microseconds(rest));
-        const auto [cancelled] = co_await m_until_publish.async_wait(kToTuple);
+        const Micros retry = kPublishRetryDelay
+            << std::min(failures - 1, kMaxPublishDoublings);
+        const Micros delay = written ? interval : std::min(interval, m_view.in_turn(retry));
+        m_publish_timer.expires_after(std::chrono::microseconds(delay));
+        const auto [cancelled] = co_await m_publish_timer.async_wait(kToTuple);
         if (cancelled)
             co_await pause(m_view.time_to_republish());
     }
 }
 
 asio::awaitable<void>
-DirectoryWatch::report_calls()
+DirectoryWatch::log_calls_loop()
 {
     for (;;) {
-        co_await pause(kReportPace);
+        co_await pause(kCallReportInterval);
         m_store.log_calls(to_string(source().role));
     }
 }
@@ -186,30 +186,30 @@
 {
     TopicView& view = m_view.of(topic);
     for (;;) {
-        const Micros rest = m_view.time_until_read(topic, monotonic_us());
-        if (rest > 0) {
-            BootTimer& timer = m_pauses.at(topic);
-            timer.expires_after(std::chrono::microseconds(rest));
+        const Micros delay = m_view.time_until_read(topic, monotonic_us());
+        if (delay > 0) {
+            BootTimer& timer = m_topic_timers.at(topic);
+            timer.expires_after(std::chrono::microseconds(delay));
             co_await timer.async_wait(kToTuple);
             continue;
         }
-        const std::optional<DaemonRecord> should_tell = source().daemon;
-        const bool missed = should_tell && !view.overdue && !is_reader_at_work();
+        const std::optional<DaemonRecord> reader = source().daemon;
+        const bool reader_missed = reader && !view.overdue && !is_reader_busy();
         view.overdue = false;
         Result<void> done;
         if (view.next)
             done = co_await read(topic);
         else
             done = co_await list(topic);
-        note_contact(done.has_value());
-        bring_into_force(); // also what was believed for a while only may be over
+        record_contact(done.has_value());
+        bring_into_force(); // entries that were valid for a limited time may have expired
         if (!done) {
             co_await pause(m_view.retry_pause(++view.failures));
             continue;
         }
         view.failures = 0;
-        if (missed && !is_reader_at_work() && m_view.note_missed(topic, monotonic_us()))
-            suspect_reader(*should_tell, "stale");
+        if (reader_missed && !is_reader_busy() && m_view.note_missed(topic, monotonic_us()))
+            suspect_reader(*reader, "stale");
     }
 }
 
@@ -227,31 +227,32 @@
             co_return tl::unexpected(page.error());
         if (restores != m_view.restores())
             co_return Result<void> {};
-        note(m_view.take_listed(topic, page->records, monotonic_us()));
-        // What changed while later pages were read follows behind the first end.
+        process_change(m_view.take_listed(topic, page->records, monotonic_us()));
+        // Records that changed while later pages were read follow the first page's end.
         end = end.value_or(page->end);
         if (!page->more || page->records.empty())
             break;
-        // A key that the store can't be asked behind must not be asked behind for ever.
+        // A store that does not page past this key would make the listing repeat forever.
         if (page->records.back().key == after)
-            co_return fail(ErrorKind::Internal, "a listing does not go on");
+            co_return fail(ErrorKind::Internal,
+                           "directory listing returned the same last key twice");
         after = page->records.back().key;
     }
     m_view.end_listing(topic, *end, asked_at, monotonic_us());
-    note({.news = true, .unread = {}});
+    process_change({.news = true, .unread = {}});
     co_return Result<void> {};
 }
 
-/// A listing goes on at the page that failed: 10,003 upstreams are 21 pages, and the
-/// directory that loses one of them is busy already.
+/// Retries the page that failed rather than the whole listing: 10,003 upstreams are 21
+/// pages, and a directory that loses one of them is already busy.
 asio::awaitable<Result<DirectoryPage>>
 DirectoryWatch::list_page(DirectoryTopic topic, std::string after)
 {
-    for (int tries = 1;; ++tries) {
+    for (int attempt = 1;; ++attempt) {
         auto page = co_await m_store.newest(topic, after);
-        if (page || tries == kPageTries)
+        if (page || attempt == kMaxPageAttempts)
             co_return page;
-        co_await pause(m_view.in_turn(m_view.retry_pause(tries)));
+        co_await pause(m_view.in_turn(m_view.retry_pause(attempt)));
     }
 }
 
@@ -267,45 +268,45 @@
     const auto page = co_await m_store.read(topic, from, wait);
     if (!page)
         co_return tl::unexpected(page.error());
-    // What it says is of offsets that hold no more.
+    // After a restore the answer refers to offsets that are no longer valid.
     if (restores != m_view.restores())
         co_return Result<void> {};
     if (page->history_lost)
         m_view.note_history_lost(topic, monotonic_us());
     else
-        note_page(topic, from, *page, asked_at, wait);
+        process_page(topic, from, *page, asked_at, wait);
     co_return Result<void> {};
 }
 
 void
-DirectoryWatch::note_page(DirectoryTopic topic, Offset from, const DirectoryPage& page,
-                          Micros asked_at, Micros waited)
+DirectoryWatch::process_page(DirectoryTopic topic, Offset from, const DirectoryPage& page,
+                             Micros asked_at, Micros waited)
 {
     const Micros now = monotonic_us();
     const DirectoryChange change
         = m_view.take_page(topic, from, page.records, asked_at, waited, now);
-    m_taken_us = monotonic_us() - now;
-    note(change);
+    m_decode_us = monotonic_us() - now;
+    process_change(change);
 }
 
 void
-DirectoryWatch::note_answer(const FeedAnswer& answer, Micros asked_at)
+DirectoryWatch::process_answer(const FeedAnswer& answer, Micros asked_at)
 {
     const Micros now = monotonic_us();
     const DirectoryChange change = m_view.take_answer(answer, asked_at, now);
-    m_taken_us = monotonic_us() - now;
-    note(change);
+    m_decode_us = monotonic_us() - now;
+    process_change(change);
 }
 
-/// A record that can't be read is written again each heartbeat, maybe: it is logged once
-/// for each reason, and counted each time.
+/// An invalid record may be written again at each heartbeat, so it is logged once for each
+/// reason, and counted each time.
 void
-DirectoryWatch::note_unread(const UnreadRecord& record)
+DirectoryWatch::log_invalid_record(const UnreadRecord& record)
 {
     m_kernel.unread_records.fetch_add(1, std::memory_order_relaxed);
-    if (m_unread_logged.size() >= kMaxUnreadLogged)
-        m_unread_logged.clear();
-    if (!m_unread_logged.emplace(record.topic, record.key, record.why).second)
+    if (m_invalid_logged.size() >= kMaxInvalidLogged)
+        m_invalid_logged.clear();
+    if (!m_invalid_logged.emplace(record.topic, record.key, record.why).second)
         return;
     LogEvent("record_unread", LogLevel::Warn)
         .kv("topic", to_string(record.topic))
@@ -313,19 +314,20 @@
         .kv("why", record.why);
 }
 
-/// What records said, wherever they came from.
+/// Processes a change of the view, from the directory or from the reader.
 void
-DirectoryWatch::note(const DirectoryChange& change)
+DirectoryWatch::process_change(const DirectoryChange& change)
 {
     for (const UnreadRecord& record : change.unread)
-        note_unread(record);
+        log_invalid_record(record);
     if (change.news)
-        m_feed.note_news();
-    // That daemons were looked at is news too: who wrote nothing is silent.
-    const Micros looked_at = m_view.of(DirectoryTopic::Daemons).as_of;
-    if (m_on_daemons && looked_at > m_daemons_told)
+        m_feed.wake_held_queries();
+    // A read of the daemons' records without changes is passed on, too: daemons that wrote
+    // no record may have become unresponsive.
+    const Micros read_at = m_view.of(DirectoryTopic::Daemons).as_of;
+    if (m_on_daemons && read_at > m_daemons_passed_at)
         m_on_daemons(m_view.take_new_daemons());
-    m_daemons_told = looked_at;
+    m_daemons_passed_at = read_at;
     m_kernel.directory_known_at.store(
         std::min(m_view.of(DirectoryTopic::Configuration).as_of,
                  m_view.of(DirectoryTopic::Upstreams).as_of),
@@ -337,44 +339,44 @@
 }
 
 void
-DirectoryWatch::note_standstill()
+DirectoryWatch::on_resumed()
 {
     for (const DirectoryTopic topic : DirectoryView::kTopics)
-        m_pauses.at(topic).cancel();
+        m_topic_timers.at(topic).cancel();
 }
 
-// ----------------------------------------------------- a log that was restored
+// -------------------------------------------------------------- a restored log
 
 void
-DirectoryWatch::hear_generation(LogGeneration told)
+DirectoryWatch::hear_generation(LogGeneration reported)
 {
-    if (m_view.hear_generation(told, monotonic_us()))
+    if (m_view.hear_generation(reported, monotonic_us()))
         recover_from_restore("daemon");
 }
 
 void
-DirectoryWatch::recover_from_restore(std::string_view told_by)
+DirectoryWatch::recover_from_restore(std::string_view reported_by)
 {
     LogEvent("directory_restored", LogLevel::Warn)
         .kv("generation", m_view.generation())
-        .kv("told_by", told_by)
+        .kv("told_by", reported_by)
         .kv("role", to_string(source().role))
         .kv("version", m_applied ? m_applied->version : 0);
     for (const DirectoryTopic topic : DirectoryView::kTopics)
-        m_pauses.at(topic).cancel();
-    m_until_publish.cancel();
+        m_topic_timers.at(topic).cancel();
+    m_publish_timer.cancel();
 }
 
 // ------------------------------------------------------- contact with the store
 
 void
-DirectoryWatch::note_contact(bool reached)
+DirectoryWatch::record_contact(bool reached)
 {
     const Micros now = monotonic_us();
-    if (reached != m_reached)
+    if (reached != m_platform_reachable)
         LogEvent(reached ? "platform_regained" : "platform_lost", LogLevel::Warn)
             .kv("silent_ms", (now - m_last_contact) / kMillisecond);
-    m_reached = reached;
+    m_platform_reachable = reached;
     if (reached)
         m_last_contact = now;
 }
--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -28,9 +28,10 @@
 
 namespace cypressford {
 
-/// Follows a directory on the platform and brings configuration and upstreams
-/// into force.  One daemon of each hall reads the directory and the others ask it;
-/// who learns nothing from it in time reads for itself.  Lives on the control thread.
+/// Follows a directory on the platform and applies its configuration and upstreams on this
+/// daemon.  One daemon of each hall (the reader) reads the directory and the others query
+/// it; a daemon that receives no update from the reader in time reads the directory itself.
+/// Lives on the control thread.
 class DirectoryWatch {
 public:
     DirectoryWatch(boost::asio::io_context& io, Kernel& kernel);
@@ -40,67 +41,71 @@
     /// Called after each change of the snapshot.
     void on_change(std::function<void()> action) { m_on_change = std::move(action); }
 
-    /// Called with records of daemons that are new.
+    /// Called with the new records of daemons.
     void on_daemons(std::function<void(std::vector<DaemonRecord>)> action)
     {
         m_on_daemons = std::move(action);
     }
 
-    /// Called with the daemons that don't answer this one's reader, or this one itself if
-    /// it is a reader, whenever they are others.
+    /// Called with the daemons that do not answer this daemon's reader (or this daemon, if
+    /// it is a reader) whenever the set changes.
     void on_unreachable(std::function<void(std::set<std::string>)> action)
     {
         m_on_unreachable = std::move(action);
     }
 
-    /// Called when the log may have lost records of suspects.
+    /// Called when the log may have lost suspect records.
     void on_suspects_lost(std::function<void()> action)
     {
         m_on_suspects_lost = std::move(action);
     }
 
-    /// The daemon at that address did not answer this one.
-    void report_lost(const std::string& peers_address);
+    /// Reports that the daemon at that address did not answer this one.
+    void report_unreachable(const std::string& peers_address);
 
-    /// Tells the other daemons at once that this one is stopping.
+    /// Announces to the other daemons at once that this one is stopping.
     void announce_stop();
 
-    /// This daemon stood still: what is too old by now is read again at once.
-    void note_standstill();
+    /// This daemon was suspended: topics whose data is too old by now are read again at
+    /// once.
+    void on_resumed();
 
     boost::asio::awaitable<Result<void>> write(DirectoryTopic topic,
                                                DirectoryRecord record);
 
-    /// What this daemon says of requests under which upstreams ended is in force here at
-    /// once.  Given again under one key, it says more than before.
-    void take_own_suspects(const std::string& key, const SuspectRecord& record);
+    /// Applies, on this daemon and at once, this daemon's own record of requests under
+    /// which upstreams ended.  A later record under the same key extends the earlier one.
+    void apply_own_suspects(const std::string& key, const SuspectRecord& record);
     /// The directory has acknowledged the record of that key.
-    void note_suspects_written(const std::string& key);
-    /// Records whose keys begin with `prefix`, to be written again: the log lost them.
+    void mark_suspects_written(const std::string& key);
+    /// Records whose keys begin with `prefix` and that must be written again because the
+    /// log lost them.
     std::vector<DirectoryRecord> lost_suspects(std::string_view prefix) const;
-    /// The same of all daemons; none if another one looks after them.
+    /// Lost records of all daemons; empty if another daemon is responsible for them.
     std::vector<DirectoryRecord> lost_suspects_of_all() const;
-    /// Keys that this daemon is to delete from the directory; none if another one is.
+    /// Up to `most` keys that this daemon must delete from the directory; empty if another
+    /// daemon is responsible.
     std::vector<std::string> outdated_suspects(std::size_t most) const;
 
 private:
-    /// How long a reader's answer may take to begin, beyond the time that it is held.
-    static constexpr Micros kReaderWaitLimit = 300 * kMillisecond;
+    /// Time for the first byte of a reader's answer, beyond the time that the reader may
+    /// hold the query.
+    static constexpr Micros kReaderResponseTimeout = 300 * kMillisecond;
 
     boost::asio::awaitable<void> publish_own();
     boost::asio::awaitable<bool> publish_once();
     DaemonRecord own_record();
-    /// Asks daemons that the settings name whom to ask.
+    /// Requests a referral from the peers in the settings until the topics are listed.
     boost::asio::awaitable<void> join();
-    boost::asio::awaitable<std::optional<DirectoryReferral>> own_referral();
+    boost::asio::awaitable<std::optional<DirectoryReferral>> make_own_referral();
     boost::asio::awaitable<std::optional<DirectoryReferral>>
-    ask_peer(std::string feed_address, Micros connect_limit);
-    boost::asio::awaitable<bool> ask_referral(std::string feed_address,
-                                              Micros connect_limit);
-    std::vector<std::string> feeds_of_peers() const;
-    boost::asio::awaitable<void> report_calls();
+    request_referral(std::string feed_address, Micros connect_limit);
+    boost::asio::awaitable<bool> obtain_referral(std::string feed_address,
+                                                 Micros connect_limit);
+    std::vector<std::string> peer_feed_addresses() const;
+    boost::asio::awaitable<void> log_calls_loop();
 
-    // One loop for each topic asks the directory; one more asks the reader of the hall.
+    // One loop for each topic queries the directory; one more queries the hall's reader.
     boost::asio::awaitable<void> follow(DirectoryTopic topic);
     boost::asio::awaitable<void> follow_reader();
     boost::asio::awaitable<Result<void>> list(DirectoryTopic topic);
@@ -108,67 +113,71 @@
                                                             std::string after);
     boost::asio::awaitable<Result<void>> read(DirectoryTopic topic);
     FeedQuery reader_query() const;
-    /// The first question waits for news, the next one is answered at once.
-    boost::asio::awaitable<Result<FeedAnswer>> ask_reader(const DaemonRecord& reader,
-                                                          bool is_first);
-    /// After a question to the reader that was not answered.
-    bool may_ask_reader_again() const;
-    /// `limits`: by when connection and answer must have come.
-    boost::asio::awaitable<Result<FeedAnswer>> ask_feed(std::string feed_address,
-                                                        std::string who, FeedQuery query,
-                                                        CallOptions limits);
-    boost::asio::awaitable<void> tell_lost(DaemonRecord reader, std::string peers_address);
+    /// The reader holds the first query until there are changes and answers a repeated one
+    /// at once.
+    boost::asio::awaitable<Result<FeedAnswer>> query_reader(const DaemonRecord& reader,
+                                                            bool is_first);
+    /// Whether to repeat a query that the reader did not answer.
+    bool should_repeat_query() const;
+    /// `label`: the queried daemon, for the log; `limits`: deadlines of connection and
+    /// answer.
+    boost::asio::awaitable<Result<FeedAnswer>> query_feed(std::string feed_address,
+                                                          std::string label,
+                                                          FeedQuery query,
+                                                          CallOptions limits);
+    boost::asio::awaitable<void> report_to_reader(DaemonRecord reader,
+                                                  std::string peers_address);
     boost::asio::awaitable<void> check_peer(std::string peers_address);
-    boost::asio::awaitable<bool> gives_sign(std::string peers_address);
-    void note_unreachable(const UnreachableList& list);
-    /// What another daemon says of the log's generation.
+    boost::asio::awaitable<bool> is_responsive(std::string peers_address);
+    void apply_unreachable_list(const UnreachableList& list);
+    /// Handles the log generation that another daemon reports.
     void hear_generation(LogGeneration told);
-    /// The log came back from an older copy: lists, and writes again what it may have lost.
-    void recover_from_restore(std::string_view told_by);
-    boost::asio::awaitable<void> trust_later(std::string peers_address);
+    /// The log was restored from an older copy: lists again, and rewrites what the log may
+    /// have lost.
+    void recover_from_restore(std::string_view reported_by);
+    boost::asio::awaitable<void> restore_trust_later(std::string peers_address);
     boost::asio::awaitable<void> pause(Micros time);
 
     DirectorySource source() const;
-    /// The reader's answer is late or arriving, so it can't have told what is new.
-    bool is_reader_at_work() const
-    {
-        return m_reader_watch && m_reader_watch->is_at_work();
-    }
-    void note_source(const DirectorySource& from);
-    void suspect_reader(const DaemonRecord& reader, std::string_view why);
-    void note_page(DirectoryTopic topic, Offset from, const DirectoryPage& page,
-                   Micros asked_at, Micros waited);
-    void note_answer(const FeedAnswer& answer, Micros asked_at);
-    void note(const DirectoryChange& change);
-    void note_unread(const UnreadRecord& record);
-    void note_contact(bool reached);
+    /// The reader's answer is late or still arriving, so topics that the reader should have
+    /// updated are not held against it.
+    bool is_reader_busy() const { return m_reader_watch && m_reader_watch->is_busy(); }
+    void update_source(const DirectorySource& from);
+    void suspect_reader(const DaemonRecord& reader, std::string_view reason);
+    void process_page(DirectoryTopic topic, Offset from, const DirectoryPage& page,
+                      Micros asked_at, Micros waited);
+    void process_answer(const FeedAnswer& answer, Micros asked_at);
+    void process_change(const DirectoryChange& change);
+    void log_invalid_record(const UnreadRecord& record);
+    void record_contact(bool reached);
     void bring_into_force();
     void bring_suspects_into_force();
 
     boost::asio::io_context& m_io;
     Kernel& m_kernel;
     DirectoryStore m_store;
-    HttpClient m_peers;
-    std::map<DirectoryTopic, BootTimer> m_pauses; ///< of the loops
+    HttpClient m_peer_client;
+    std::map<DirectoryTopic, BootTimer> m_topic_timers; ///< one for the loop of each topic
     DirectoryView m_view;
-    BootTimer m_until_publish; ///< of this daemon's record; cancelled: it may be lost
-    BootTimer m_without_reader; ///< between looks whether there is a reader
+    BootTimer m_publish_timer; ///< cancelled when this daemon's record may be lost
+    BootTimer m_reader_poll_timer; ///< between checks for a reader while there is none
     DirectoryFeedServer m_feed;
     ResolvedBundlePtr m_applied; ///< the configuration in force
     std::uint64_t m_applied_revision = 0;
-    std::uint64_t m_applied_suspects = 0; ///< revision
-    Micros m_taken_us = 0; ///< taken by the records that were taken last
+    std::uint64_t m_applied_suspects_revision = 0;
+    Micros m_decode_us = 0; ///< time that applying the last records took
     Evacuations m_evacuations;
     Micros m_last_contact = 0;
-    Micros m_daemons_told = -1; ///< state of the daemons' records that was passed on
-    bool m_reached = true;
-    std::set<std::tuple<DirectoryTopic, std::string, std::string>> m_unread_logged;
+    Micros m_daemons_passed_at
+        = -1; ///< time of the daemon records last passed to m_on_daemons
+    bool m_platform_reachable = true;
+    std::set<std::tuple<DirectoryTopic, std::string, std::string>> m_invalid_logged;
     std::uint64_t m_own_sequence = 0;
-    bool m_own_written = false; ///< this daemon's record lies in the directory
+    bool m_own_record_stored = false; ///< this daemon's record was stored in the directory
     std::optional<DirectoryRole> m_role;
-    std::string m_asked; ///< node; empty: the directory itself
-    std::shared_ptr<ReaderWatch> m_reader_watch; ///< of the last question to the reader
-    std::uint64_t m_unreachable_revision = 0; ///< of the list of the daemon that was asked
+    std::string m_source_node; ///< node of the queried reader; empty: the directory itself
+    std::shared_ptr<ReaderWatch> m_reader_watch; ///< of the last query to the reader
+    std::uint64_t m_unreachable_revision = 0; ///< of the list from the queried daemon
     std::function<void(std::set<std::string>)> m_on_unreachable;
     std::function<void()> m_on_change;
     std::function<void()> m_on_suspects_lost;
--- a/src/libserve/directory/directory_watch_in_force.cpp
+++ b/src/libserve/directory/directory_watch_in_force.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a DirectoryWatch brings into force at its daemon.
+/// How a DirectoryWatch applies the directory's content on its daemon.
 
 #include "libserve/directory/directory_watch.h"
 
@@ -48,10 +48,10 @@
     if (!is_new && fold.revision() == m_applied_revision)
         return;
     const std::uint64_t version_before = m_applied ? m_applied->version : 0;
-    const Micros resolve_began_at = monotonic_us();
+    const Micros resolve_started_at = monotonic_us();
     if (is_new)
         m_applied = m_kernel.upstreams.resolve(*bundle);
-    const Micros build_began_at = monotonic_us();
+    const Micros build_started_at = monotonic_us();
     m_applied_revision = fold.revision();
     const std::vector<MemberChange> changes = fold.take_changes();
     SnapshotPtr before = m_kernel.snapshot.load();
@@ -63,14 +63,14 @@
         snapshot = m_kernel.upstreams.build(m_applied, fold.members());
     m_evacuations.apply(fold.evacuations().halls(), *snapshot);
     m_kernel.snapshot.store(snapshot);
-    const Micros build_us = monotonic_us() - build_began_at;
+    const Micros build_us = monotonic_us() - build_started_at;
     if (is_new)
         LogEvent("configuration_in_force")
             .kv("version", m_applied->version)
             .kv("before", version_before)
             .kv("pipelines", m_applied->pipelines.size())
-            .kv("decode_us", m_taken_us)
-            .kv("resolve_us", build_began_at - resolve_began_at);
+            .kv("decode_us", m_decode_us)
+            .kv("resolve_us", build_started_at - resolve_started_at);
     const UpstreamCounts counts = count_upstreams(*snapshot);
     LogEvent("upstreams_in_force")
         .kv("revision", m_applied_revision)
@@ -86,14 +86,14 @@
 // ----------------------------------------------------------------- suspects
 
 void
-DirectoryWatch::take_own_suspects(const std::string& key, const SuspectRecord& record)
+DirectoryWatch::apply_own_suspects(const std::string& key, const SuspectRecord& record)
 {
     m_view.suspects().apply_unwritten(key, record);
     bring_suspects_into_force();
 }
 
 void
-DirectoryWatch::note_suspects_written(const std::string& key)
+DirectoryWatch::mark_suspects_written(const std::string& key)
 {
     m_view.suspects().note_written(key);
 }
@@ -107,28 +107,29 @@
 std::vector<DirectoryRecord>
 DirectoryWatch::lost_suspects_of_all() const
 {
-    const bool is_other = source().role != DirectoryRole::Root;
-    return is_other ? std::vector<DirectoryRecord> {} : m_view.lost_suspects("");
+    const bool is_other_responsible = source().role != DirectoryRole::Root;
+    return is_other_responsible ? std::vector<DirectoryRecord> {}
+                                : m_view.lost_suspects("");
 }
 
 std::vector<std::string>
 DirectoryWatch::outdated_suspects(std::size_t most) const
 {
-    const bool is_other = source().role != DirectoryRole::Root;
-    return is_other ? std::vector<std::string> {}
-                    : m_view.suspects().outdated(wall_ms(), most);
+    const bool is_other_responsible = source().role != DirectoryRole::Root;
+    return is_other_responsible ? std::vector<std::string> {}
+                                : m_view.suspects().outdated(wall_ms(), most);
 }
 
 void
 DirectoryWatch::bring_suspects_into_force()
 {
     const SuspectTable& suspects = m_view.suspects();
-    if (suspects.revision() == m_applied_suspects)
+    if (suspects.revision() == m_applied_suspects_revision)
         return;
-    m_applied_suspects = suspects.revision();
+    m_applied_suspects_revision = suspects.revision();
     SuspectViewPtr view = suspects.view();
     LogEvent("suspects_in_force", LogLevel::Warn)
-        .kv("revision", m_applied_suspects)
+        .kv("revision", m_applied_suspects_revision)
         .kv("watched", view->size())
         .kv("quarantined", view->count_quarantined());
     m_kernel.suspects.store(std::move(view));
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a DirectoryWatch asks other daemons, and tells them.
+/// Queries and reports that a DirectoryWatch sends to other daemons.
 
 #include "libserve/directory/directory_watch.h"
 
@@ -25,23 +25,23 @@
 
 namespace {
 
-constexpr Micros kConnectTime = 250 * kMillisecond;
-/// The same while a topic must be listed: a reader that has just started itself takes in
-/// thousands of records before it answers.
-constexpr Micros kListingWaitLimit = 3 * kSecond;
-/// The same of a peer that may refer this daemon; others may, too.
-constexpr Micros kFirstConnectTime = 400 * kMillisecond;
-/// Once none of them did: an opening packet that finds a queue full, where hundreds ask at
-/// once, is sent again after a second.
-constexpr Micros kBusyConnectTime = 1500 * kMillisecond;
-/// A question for a referral waits so long while the daemon that is asked meets others.
-constexpr Micros kReferralHold = 700 * kMillisecond;
-/// A sign of life that another daemon is asked for is due after so long, ...
-constexpr Micros kSignWaitLimit = 200 * kMillisecond;
-/// ... and again after this time until it gives one.
-constexpr Micros kPeerCheckPause = 300 * kMillisecond;
-/// Between peers that did not refer this daemon.
-constexpr Micros kRoundPause = 100 * kMillisecond;
+constexpr Micros kConnectTimeout = 250 * kMillisecond;
+/// Time for an answer beyond the time that the query is held, while a topic must be listed:
+/// a reader that has just started applies thousands of records before it answers.
+constexpr Micros kListingResponseTimeout = 3 * kSecond;
+/// Connecting to a peer that may give a referral, while other peers may give one, too.
+constexpr Micros kFirstConnectTimeout = 400 * kMillisecond;
+/// Connecting once no peer has given a referral: a SYN that is dropped at a full accept
+/// queue, when hundreds of daemons connect at once, is sent again after a second.
+constexpr Micros kBusyConnectTimeout = 1500 * kMillisecond;
+/// Time that the queried daemon may hold a request for a referral to collect other joiners.
+constexpr Micros kReferralHoldTime = 700 * kMillisecond;
+/// Time for the answer to a keepalive request to another daemon.
+constexpr Micros kKeepaliveTimeout = 200 * kMillisecond;
+/// Between keepalive requests to a daemon until it answers one.
+constexpr Micros kPeerCheckInterval = 300 * kMillisecond;
+/// Between peers that gave no referral.
+constexpr Micros kReferralRetryDelay = 100 * kMillisecond;
 constexpr int kOk = 200;
 
 CallOptions
@@ -59,20 +59,20 @@
 } // namespace
 
 asio::awaitable<Result<FeedAnswer>>
-DirectoryWatch::ask_feed(std::string feed_address, std::string who, FeedQuery query,
-                         CallOptions limits)
+DirectoryWatch::query_feed(std::string feed_address, std::string label, FeedQuery query,
+                           CallOptions limits)
 {
     const Micros asked_at = monotonic_us();
     HttpRequest request = protobuf_post(DirectoryFeedServer::kPath, encode(query));
     const CallResult result
-        = co_await m_peers.call(feed_address, std::move(request), std::move(limits));
+        = co_await m_peer_client.call(feed_address, std::move(request), std::move(limits));
     if (result.status != CallStatus::Answered || result.response.status != kOk) {
         LogEvent("reader_call_failed", LogLevel::Warn)
-            .kv("reader", who)
+            .kv("reader", label)
             .kv("status", result.response.status)
             .kv("bytes", result.response.body.size())
             .kv("us", monotonic_us() - asked_at);
-        co_return fail(ErrorKind::UpstreamFailed, who);
+        co_return fail(ErrorKind::UpstreamFailed, label);
     }
     auto answer = decode_feed_answer(result.response.body);
     co_return answer;
@@ -88,41 +88,45 @@
 }
 
 asio::awaitable<Result<FeedAnswer>>
-DirectoryWatch::ask_reader(const DaemonRecord& reader, bool is_first)
+DirectoryWatch::query_reader(const DaemonRecord& reader, bool is_first)
 {
     const Micros now = monotonic_us();
     const bool must_list = m_view.must_list();
     FeedQuery query = reader_query();
     if (!is_first)
         query.wait = 0;
-    const Micros limit = must_list ? kListingWaitLimit : kReaderWaitLimit;
+    const Micros limit = must_list ? kListingResponseTimeout : kReaderResponseTimeout;
     const Micros answer_due = query.wait + limit;
-    CallOptions options = feed_call(kConnectTime, answer_due);
+    CallOptions options = feed_call(kConnectTimeout, answer_due);
     options.fresh_connection = !is_first;
-    const auto watch = std::make_shared<ReaderWatch>(m_io, m_peers, reader);
+    const auto watch = std::make_shared<ReaderWatch>(m_io, m_peer_client, reader);
     m_reader_watch = watch;
     options.handle = watch->call();
     options.on_head = [watch](const HttpResponse&) { watch->note_begun(); };
     if (!must_list) {
         options.deadline_us = std::max(options.deadline_us, m_view.reader_due_at());
-        // Where what is known gets old first, a silent reader must be found out sooner.
-        const bool stays_fresh = m_view.may_ask_again(answer_due + kReaderWaitLimit, now);
-        const Micros sign_limit = stays_fresh ? kReaderWaitLimit : kSignWaitLimit;
-        const Micros late_at = now + answer_due - (stays_fresh ? 0 : kSignWaitLimit);
-        asio::co_spawn(m_io, watch->run(late_at, sign_limit), asio::detached);
+        // Where the data would become stale first, an unresponsive reader must be detected
+        // sooner.
+        const bool has_time_to_retry
+            = m_view.may_ask_again(answer_due + kReaderResponseTimeout, now);
+        const Micros keepalive_timeout
+            = has_time_to_retry ? kReaderResponseTimeout : kKeepaliveTimeout;
+        const Micros late_at
+            = now + answer_due - (has_time_to_retry ? 0 : kKeepaliveTimeout);
+        asio::co_spawn(m_io, watch->run(late_at, keepalive_timeout), asio::detached);
     }
-    auto answer = co_await ask_feed(reader.feed_address, reader.node, std::move(query),
-                                    std::move(options));
+    auto answer = co_await query_feed(reader.feed_address, reader.node, std::move(query),
+                                      std::move(options));
     watch->end();
     co_return answer;
 }
 
 // ------------------------------------------------- from a daemon of the settings
 
-/// Feeds have one port on all nodes.  Daemons of one hall ask the same peer first, so that
-/// it meets all of them and knows the strong ones among them.
+/// Feeds have one port on all nodes.  Daemons of one hall query the same peer first, so
+/// that this peer receives the capacities of all of them and can select the strong ones.
 std::vector<std::string>
-DirectoryWatch::feeds_of_peers() const
+DirectoryWatch::peer_feed_addresses() const
 {
     const Settings& settings = m_kernel.settings;
     std::vector<std::string> feeds;
@@ -138,44 +142,44 @@
 asio::awaitable<void>
 DirectoryWatch::join()
 {
-    const std::vector<std::string> feeds = feeds_of_peers();
+    const std::vector<std::string> feeds = peer_feed_addresses();
     for (std::size_t next = 0; m_view.must_list(); ++next) {
         if (!m_view.wants_referral()) {
-            co_await pause(kRoundPause);
+            co_await pause(kReferralRetryDelay);
             continue;
         }
         const bool is_first_round = next < feeds.size();
-        const bool referred
-            = co_await ask_referral(feeds[next % feeds.size()],
-                                    is_first_round ? kFirstConnectTime : kBusyConnectTime);
+        const bool referred = co_await obtain_referral(
+            feeds[next % feeds.size()],
+            is_first_round ? kFirstConnectTimeout : kBusyConnectTimeout);
         if (referred)
             continue;
         if (next + 1 == feeds.size()) {
             m_view.note_peers_silent();
-            m_pauses.at(DirectoryTopic::Daemons).cancel();
+            m_topic_timers.at(DirectoryTopic::Daemons).cancel();
         }
-        co_await pause(m_view.in_turn(kRoundPause));
+        co_await pause(m_view.in_turn(kReferralRetryDelay));
     }
 }
 
 asio::awaitable<std::optional<DirectoryReferral>>
-DirectoryWatch::own_referral()
+DirectoryWatch::make_own_referral()
 {
-    for (Micros rest = m_view.time_until_refer(monotonic_us()); rest > 0;
-         rest = m_view.time_until_refer(monotonic_us()))
-        co_await pause(rest);
+    for (Micros delay = m_view.time_until_refer(monotonic_us()); delay > 0;
+         delay = m_view.time_until_refer(monotonic_us()))
+        co_await pause(delay);
     co_return m_view.refer(own_record());
 }
 
 asio::awaitable<std::optional<DirectoryReferral>>
-DirectoryWatch::ask_peer(std::string feed_address, Micros connect_limit)
+DirectoryWatch::request_referral(std::string feed_address, Micros connect_limit)
 {
     FeedQuery query;
-    query.wait = kReferralHold;
+    query.wait = kReferralHoldTime;
     query.joiner = own_record();
-    CallOptions options = feed_call(connect_limit, query.wait + kListingWaitLimit);
-    const auto answer = co_await ask_feed(feed_address, feed_address, std::move(query),
-                                          std::move(options));
+    CallOptions options = feed_call(connect_limit, query.wait + kListingResponseTimeout);
+    const auto answer = co_await query_feed(feed_address, feed_address, std::move(query),
+                                            std::move(options));
     std::optional<DirectoryReferral> referral;
     if (answer)
         referral = answer->referral;
@@ -183,14 +187,14 @@
 }
 
 asio::awaitable<bool>
-DirectoryWatch::ask_referral(std::string feed_address, Micros connect_limit)
+DirectoryWatch::obtain_referral(std::string feed_address, Micros connect_limit)
 {
     const bool is_own = feed_address == m_kernel.settings.announced_feed;
     std::optional<DirectoryReferral> referral;
     if (is_own)
-        referral = co_await own_referral();
+        referral = co_await make_own_referral();
     else
-        referral = co_await ask_peer(feed_address, connect_limit);
+        referral = co_await request_referral(feed_address, connect_limit);
     if (!referral)
         co_return false;
     m_view.take_referral(*referral, monotonic_us());
@@ -199,33 +203,33 @@
         .kv("role", to_string(referral->role))
         .kv("daemons", referral->ask.size());
     for (const DirectoryTopic topic : DirectoryView::kTopics)
-        m_pauses.at(topic).cancel();
-    m_without_reader.cancel();
+        m_topic_timers.at(topic).cancel();
+    m_reader_poll_timer.cancel();
     co_return true;
 }
 
 // ------------------------------------------------- daemons that don't answer
 
-/// The reader finds out for all that ask it.
+/// A follower reports the peer to its reader, which checks it for all its followers.
 void
-DirectoryWatch::report_lost(const std::string& peers_address)
+DirectoryWatch::report_unreachable(const std::string& peers_address)
 {
     const DirectorySource from = source();
     if (from.role == DirectoryRole::Follower && from.daemon)
-        asio::co_spawn(m_io, tell_lost(*from.daemon, peers_address), asio::detached);
+        asio::co_spawn(m_io, report_to_reader(*from.daemon, peers_address), asio::detached);
     else
         asio::co_spawn(m_io, check_peer(peers_address), asio::detached);
 }
 
 asio::awaitable<void>
-DirectoryWatch::tell_lost(DaemonRecord reader, std::string peers_address)
+DirectoryWatch::report_to_reader(DaemonRecord reader, std::string peers_address)
 {
     FeedQuery query;
     query.lost = {std::move(peers_address)};
-    CallOptions options = feed_call(kConnectTime, kReaderWaitLimit);
-    // One that fails is logged there; the next loss is told again.
-    (void)co_await ask_feed(reader.feed_address, reader.node, std::move(query),
-                            std::move(options));
+    CallOptions options = feed_call(kConnectTimeout, kReaderResponseTimeout);
+    // query_feed() logs a failure; the next failure of the peer is reported again.
+    (void)co_await query_feed(reader.feed_address, reader.node, std::move(query),
+                              std::move(options));
 }
 
 asio::awaitable<void>
@@ -234,45 +238,45 @@
     if (!m_view.unreachable().begin_check(peers_address))
         co_return;
     for (;;) {
-        // Of one that is gone the directory tells.
+        // Checks end when the directory no longer lists the daemon.
         const bool is_known = m_view.daemons().knows(peers_address);
         // GCC 12 ends this function wrongly if the call stands in a condition.
         bool answers = true;
         if (is_known)
-            answers = co_await gives_sign(peers_address);
+            answers = co_await is_responsive(peers_address);
         if (m_view.unreachable().note_check(peers_address, answers)) {
             LogEvent("peer_checked", LogLevel::Warn)
                 .kv("peer", peers_address)
                 .kv("answers", answers)
                 .kv("unreachable", m_view.unreachable().list().addresses.size());
-            m_feed.note_news();
+            m_feed.wake_held_queries();
             const bool is_own = source().role != DirectoryRole::Follower;
             if (is_own && m_on_unreachable)
                 m_on_unreachable(m_view.unreachable().list().addresses);
         }
         if (answers)
             co_return;
-        co_await pause(kPeerCheckPause);
+        co_await pause(kPeerCheckInterval);
     }
 }
 
 asio::awaitable<bool>
-DirectoryWatch::gives_sign(std::string peers_address)
+DirectoryWatch::is_responsive(std::string peers_address)
 {
     HttpRequest request;
     request.target = PeerLink::kAlivePath;
     CallOptions options;
-    options.deadline_us = monotonic_us() + kSignWaitLimit;
-    const CallResult result
-        = co_await m_peers.call(std::move(peers_address), std::move(request), options);
+    options.deadline_us = monotonic_us() + kKeepaliveTimeout;
+    const CallResult result = co_await m_peer_client.call(std::move(peers_address),
+                                                          std::move(request), options);
     co_return result.status == CallStatus::Answered;
 }
 
 void
-DirectoryWatch::note_unreachable(const UnreachableList& list)
+DirectoryWatch::apply_unreachable_list(const UnreachableList& list)
 {
     m_unreachable_revision = list.revision;
-    // A reader goes by what it finds out itself.
+    // A reader uses the results of its own checks only.
     if (source().role == DirectoryRole::Follower && m_on_unreachable)
         m_on_unreachable(list.addresses);
 }
--- a/src/libserve/directory/directory_watch_reader.cpp
+++ b/src/libserve/directory/directory_watch_reader.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How a DirectoryWatch hears from the reader of its hall, and when it leaves it.
+/// How a DirectoryWatch follows the reader of its hall, and when it suspects it.
 
 #include "libserve/directory/directory_watch.h"
 
@@ -24,12 +24,12 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Without a reader, between looks whether there is one.
-constexpr Micros kReaderPause = 200 * kMillisecond;
-/// A reader that did not tell what it should is not asked for so long.
-constexpr Micros kDistrust = 3 * kSecond;
+/// Between checks for a reader while there is none.
+constexpr Micros kReaderPollInterval = 200 * kMillisecond;
+/// A reader that failed to deliver updates is not queried for this time.
+constexpr Micros kReaderSuspicionTime = 3 * kSecond;
 /// The same while a topic must be listed: the reader may be about to start.
-constexpr Micros kDistrustAtStart = 500 * kMillisecond;
+constexpr Micros kReaderSuspicionTimeAtStart = 500 * kMillisecond;
 
 } // namespace
 
@@ -38,89 +38,91 @@
 {
     for (;;) {
         const DirectorySource from = source();
-        note_source(from);
-        const std::optional<DaemonRecord>& asked = from.daemon;
-        if (!asked) {
-            m_without_reader.expires_after(std::chrono::microseconds(kReaderPause));
-            co_await m_without_reader.async_wait(kToTuple);
+        update_source(from);
+        const std::optional<DaemonRecord>& reader = from.daemon;
+        if (!reader) {
+            m_reader_poll_timer.expires_after(
+                std::chrono::microseconds(kReaderPollInterval));
+            co_await m_reader_poll_timer.async_wait(kToTuple);
             continue;
         }
         Micros asked_at = monotonic_us();
-        auto answer = co_await ask_reader(*asked, true);
-        if (!answer && may_ask_reader_again()) {
+        auto answer = co_await query_reader(*reader, true);
+        if (!answer && should_repeat_query()) {
             asked_at = monotonic_us();
-            answer = co_await ask_reader(*asked, false);
+            answer = co_await query_reader(*reader, false);
         }
         if (!answer) {
-            suspect_reader(*asked, m_reader_watch->gave_sign() ? "no_news" : "silent");
+            suspect_reader(*reader,
+                           m_reader_watch->answered_keepalive() ? "no_news" : "silent");
             continue;
         }
         hear_generation(answer->generation);
-        note_answer(*answer, asked_at);
-        // One of an earlier version counts on at the offsets that it knew.
+        process_answer(*answer, asked_at);
+        // A reader of an earlier version keeps using the offsets from before the restore.
         if (answer->generation == 0 && m_view.restores() > 0)
-            suspect_reader(*asked, "no_generation");
+            suspect_reader(*reader, "no_generation");
         if (answer->unreachable)
-            note_unreachable(*answer->unreachable);
+            apply_unreachable_list(*answer->unreachable);
         const Micros age = monotonic_us() - m_view.of(DirectoryTopic::Configuration).as_of;
-        if (!m_reached && age < m_view.pace().stale_after)
-            note_contact(true);
+        if (!m_platform_reachable && age < m_view.pace().stale_after)
+            record_contact(true);
         bool complete = true;
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             complete = complete && !m_view.of(topic).overdue;
             if (m_view.of(topic).overdue)
-                m_pauses.at(topic).cancel();
+                m_topic_timers.at(topic).cancel();
         }
         if (!complete)
-            co_await pause(kReaderPause);
+            co_await pause(kReaderPollInterval);
     }
 }
 
 bool
-DirectoryWatch::may_ask_reader_again() const
+DirectoryWatch::should_repeat_query() const
 {
     if (m_reader_watch->is_connection_dead())
         return true;
-    return !m_reader_watch->is_silent() && !m_reader_watch->gave_sign()
-        && m_view.may_ask_again(kReaderWaitLimit, monotonic_us());
+    return !m_reader_watch->is_unresponsive() && !m_reader_watch->answered_keepalive()
+        && m_view.may_ask_again(kReaderResponseTimeout, monotonic_us());
 }
 
-/// Whom this daemon hears from changed: who came to read the directory itself does so at
-/// once, not when it would have missed its reader.
+/// After a change of role or reader, all topic loops check their schedule at once: a daemon
+/// that has become a reader must not wait until its former reader would have been late.
 void
-DirectoryWatch::note_source(const DirectorySource& from)
+DirectoryWatch::update_source(const DirectorySource& from)
 {
-    const std::string asked = from.daemon ? from.daemon->node : std::string();
-    if (m_role == from.role && m_asked == asked)
+    const std::string node = from.daemon ? from.daemon->node : std::string();
+    if (m_role == from.role && m_source_node == node)
         return;
     m_role = from.role;
-    m_asked = asked;
+    m_source_node = node;
     m_unreachable_revision = 0;
-    LogEvent("directory_source").kv("role", to_string(from.role)).kv("asks", asked);
+    LogEvent("directory_source").kv("role", to_string(from.role)).kv("asks", node);
     for (const DirectoryTopic topic : DirectoryView::kTopics)
-        m_pauses.at(topic).cancel();
+        m_topic_timers.at(topic).cancel();
 }
 
 void
-DirectoryWatch::suspect_reader(const DaemonRecord& reader, std::string_view why)
+DirectoryWatch::suspect_reader(const DaemonRecord& reader, std::string_view reason)
 {
     if (!m_view.daemons().suspect(reader.peers_address))
         return;
     const Micros now = monotonic_us();
     LogEvent("reader_suspected", LogLevel::Warn)
         .kv("reader", reader.node)
-        .kv("why", why)
+        .kv("why", reason)
         .kv("configuration_age_ms",
             (now - m_view.of(DirectoryTopic::Configuration).as_of) / kMillisecond)
         .kv("upstreams_age_ms",
             (now - m_view.of(DirectoryTopic::Upstreams).as_of) / kMillisecond);
-    asio::co_spawn(m_io, trust_later(reader.peers_address), asio::detached);
+    asio::co_spawn(m_io, restore_trust_later(reader.peers_address), asio::detached);
 }
 
 asio::awaitable<void>
-DirectoryWatch::trust_later(std::string peers_address)
+DirectoryWatch::restore_trust_later(std::string peers_address)
 {
-    co_await pause(m_view.must_list() ? kDistrustAtStart : kDistrust);
+    co_await pause(m_view.must_list() ? kReaderSuspicionTimeAtStart : kReaderSuspicionTime);
     m_view.daemons().trust(peers_address);
 }
 
--- a/src/libserve/directory/evacuations.cpp
+++ b/src/libserve/directory/evacuations.cpp
@@ -24,11 +24,11 @@
 std::size_t
 count_in(const Snapshot& snapshot, const std::string& hall)
 {
-    const auto is_there = [&](const auto& upstream) { return upstream->hall == hall; };
+    const auto is_in_hall = [&](const auto& upstream) { return upstream->hall == hall; };
     std::ptrdiff_t count = 0;
     for (const UpstreamSet& set : snapshot.sets)
         for (const auto* side : {&set.own, &set.remote})
-            count += std::count_if(side->begin(), side->end(), is_there);
+            count += std::count_if(side->begin(), side->end(), is_in_hall);
     return static_cast<std::size_t>(count);
 }
 
@@ -57,10 +57,10 @@
         return;
     std::size_t upstreams = 0;
     for (const std::string& hall : halls) {
-        const std::size_t there = count_in(snapshot, hall);
-        if (there == 0)
+        const std::size_t count = count_in(snapshot, hall);
+        if (count == 0)
             LogEvent("evacuation_of_unknown_hall", LogLevel::Warn).kv("hall", hall);
-        upstreams += there;
+        upstreams += count;
     }
     m_kernel.upstreams.set_evacuated(halls, monotonic_us());
     m_kernel.evacuated_halls.store(static_cast<int>(halls.size()));
--- a/src/libserve/directory/evacuations.h
+++ b/src/libserve/directory/evacuations.h
@@ -10,7 +10,8 @@
 
 namespace cypressford {
 
-/// Brings evacuations of halls into force on this daemon and logs what they mean.
+/// Applies evacuations of halls on this daemon and logs which upstreams and sets they
+/// affect.
 class Evacuations {
 public:
     explicit Evacuations(Kernel& kernel)
@@ -18,8 +19,8 @@
     {
     }
 
-    /// These halls are evacuated and no others.  `snapshot`: about to come into force;
-    /// its upstreams in these halls get nothing new from now on.
+    /// Evacuates exactly these halls.  `snapshot`: the one about to be stored; its
+    /// upstreams in these halls receive no new requests from now on.
     void apply(std::vector<std::string> halls, const Snapshot& snapshot);
 
 private:
--- a/src/libserve/directory/reader_watch.cpp
+++ b/src/libserve/directory/reader_watch.cpp
@@ -24,8 +24,8 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Between signs of life of a reader whose answer is late.
-constexpr Micros kSignPause = 200 * kMillisecond;
+/// Between keepalive requests to a reader whose answer is late.
+constexpr Micros kKeepaliveInterval = 200 * kMillisecond;
 
 } // namespace
 
@@ -38,39 +38,39 @@
 }
 
 asio::awaitable<void>
-ReaderWatch::run(Micros late_at, Micros sign_limit)
+ReaderWatch::run(Micros late_at, Micros keepalive_timeout)
 {
     const auto self = shared_from_this();
-    while (!is_over() && monotonic_us() < late_at)
+    while (!is_finished() && monotonic_us() < late_at)
         co_await wait_until(late_at);
-    while (!is_over()) {
-        const Micros sign_due = monotonic_us() + sign_limit;
-        ask_for_signs(sign_due);
-        while (!is_over() && !has_sign() && monotonic_us() < sign_due)
-            co_await wait_until(sign_due);
-        if (is_over())
+    while (!is_finished()) {
+        const Micros keepalive_deadline = monotonic_us() + keepalive_timeout;
+        request_keepalives(keepalive_deadline);
+        while (!is_finished() && !has_keepalive() && monotonic_us() < keepalive_deadline)
+            co_await wait_until(keepalive_deadline);
+        if (is_finished())
             co_return;
-        m_silent = !has_sign();
-        if (m_silent)
+        m_unresponsive = !has_keepalive();
+        if (m_unresponsive)
             break;
-        if (!std::exchange(m_gave_sign, true))
+        if (!std::exchange(m_answered_keepalive, true))
             LogEvent("reader_at_work").kv("reader", m_reader.node);
-        const Micros next_at = monotonic_us() + kSignPause;
-        while (!is_over() && monotonic_us() < next_at)
+        const Micros next_at = monotonic_us() + kKeepaliveInterval;
+        while (!is_finished() && monotonic_us() < next_at)
             co_await wait_until(next_at);
-        // Its feed is free to answer, and has answered what came after this question.
-        m_connection_dead = !is_over() && m_feed_answers;
+        // The feed is responsive and has answered a query that was sent after this one.
+        m_connection_dead = !is_finished() && m_feed_answers;
         if (m_connection_dead)
             break;
     }
-    if (!is_over())
+    if (!is_finished())
         m_call->cancel();
 }
 
 void
 ReaderWatch::note_begun()
 {
-    m_begun = true;
+    m_answer_started = true;
     m_timer.cancel();
 }
 
@@ -82,16 +82,16 @@
 }
 
 void
-ReaderWatch::ask_for_signs(Micros until)
+ReaderWatch::request_keepalives(Micros until)
 {
     m_peers_answers = false;
     m_feed_answers = false;
-    asio::co_spawn(m_io, ask_peers_address(until), asio::detached);
-    asio::co_spawn(m_io, ask_feed_address(until), asio::detached);
+    asio::co_spawn(m_io, query_peers_address(until), asio::detached);
+    asio::co_spawn(m_io, query_feed_address(until), asio::detached);
 }
 
 asio::awaitable<void>
-ReaderWatch::ask_peers_address(Micros until)
+ReaderWatch::query_peers_address(Micros until)
 {
     const auto self = shared_from_this();
     HttpRequest request;
@@ -107,7 +107,7 @@
 }
 
 asio::awaitable<void>
-ReaderWatch::ask_feed_address(Micros until)
+ReaderWatch::query_feed_address(Micros until)
 {
     const auto self = shared_from_this();
     HttpRequest request = protobuf_post(DirectoryFeedServer::kPath, encode(FeedQuery {}));
--- a/src/libserve/hall/bundle_service.cpp
+++ b/src/libserve/hall/bundle_service.cpp
@@ -21,7 +21,7 @@
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr Micros kReadWait = 5 * kSecond;
 constexpr std::chrono::milliseconds kReadRetry {300};
-constexpr std::chrono::milliseconds kReaderCheck {500};
+constexpr std::chrono::milliseconds kReaderPollInterval {500};
 
 } // namespace
 
@@ -59,8 +59,8 @@
 {
     BootTimer pause(m_io);
     for (;;) {
-        if (!m_reader) {
-            pause.expires_after(kReaderCheck);
+        if (!m_is_reader) {
+            pause.expires_after(kReaderPollInterval);
             co_await pause.async_wait(kToTuple);
             continue;
         }
@@ -78,28 +78,28 @@
             ++offset;
         }
         bring_into_force();
-        if (!page->records.empty() && m_on_news)
-            m_on_news();
+        if (!page->records.empty() && m_on_update)
+            m_on_update();
     }
 }
 
-/// The records that made the live state are dropped by the log some day, so the
-/// state is appended anew from time to time, by whichever daemon is first.
+/// The log drops the records behind the live state at the end of their retention time, so
+/// the state is appended anew at intervals, by whichever daemon is first.
 asio::awaitable<void>
 BundleService::snapshot_loop()
 {
     BootTimer timer(m_io);
-    Offset last_rest = m_fold.rests_on();
+    Offset last_oldest_needed = m_fold.rests_on();
     for (;;) {
-        // Daemons that start together must not all append at once.
-        const auto spread = static_cast<Micros>(m_kernel.incarnation % 1000) * kMillisecond;
+        // Jitter, so that daemons that start together do not all append at once.
+        const auto jitter = static_cast<Micros>(m_kernel.incarnation % 1000) * kMillisecond;
         const Micros interval = m_kernel.settings.snapshot_interval;
         timer.expires_after(
-            std::chrono::microseconds(interval + spread * (interval / kSecond) / 4));
+            std::chrono::microseconds(interval + jitter * (interval / kSecond) / 4));
         co_await timer.async_wait(kToTuple);
-        const bool fresh = m_fold.rests_on() != last_rest;
-        last_rest = m_fold.rests_on();
-        if (fresh || !m_reader || !m_fold.has_base() || m_fold.newest_version() == 0)
+        const bool is_recent = m_fold.rests_on() != last_oldest_needed;
+        last_oldest_needed = m_fold.rests_on();
+        if (is_recent || !m_is_reader || !m_fold.has_base() || m_fold.newest_version() == 0)
             continue;
         const auto offset = co_await m_platform.append(kStream, encode(m_fold.snapshot()));
         LogEvent("bundle_snapshot").kv("stored", offset.has_value());
--- a/src/libserve/hall/bundle_service.h
+++ b/src/libserve/hall/bundle_service.h
@@ -16,8 +16,8 @@
 
 namespace cypressford {
 
-/// Follows the bundles stream and brings each version that is rolled into force
-/// on all workers.  Lives on the control thread.
+/// Follows the bundles stream and applies each version that is rolled out, on all
+/// workers.  Lives on the control thread.
 class BundleService {
 public:
     BundleService(boost::asio::io_context& io, Kernel& kernel, PlatformClient& platform);
@@ -29,11 +29,11 @@
     /// Takes over a peer's state if it is newer.
     void adopt(const std::string& encoded_snapshot);
 
-    /// Called when the log brought something new.
-    void on_news(std::function<void()> call) { m_on_news = std::move(call); }
+    /// Called when the log contained new records.
+    void on_update(std::function<void()> call) { m_on_update = std::move(call); }
 
-    /// Whether this daemon reads the log itself or learns from its peers.
-    void set_reader(bool reader) { m_reader = reader; }
+    /// Whether this daemon reads the log itself or receives bundles from its peers.
+    void set_reader(bool reader) { m_is_reader = reader; }
 
     static constexpr const char* kStream = "bundles";
 
@@ -48,8 +48,8 @@
     BundleFold m_fold;
     Evacuations m_evacuations;
     std::uint64_t m_applied_version = 0;
-    bool m_reader = true;
-    std::function<void()> m_on_news;
+    bool m_is_reader = true;
+    std::function<void()> m_on_update;
 };
 
 } // namespace cypressford
--- a/src/libserve/hall/claim_service.cpp
+++ b/src/libserve/hall/claim_service.cpp
@@ -23,7 +23,7 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr Micros kReadWait = 5 * kSecond;
-/// Between looks at timers, with and without claims in hand.
+/// Between timer events, with and without open claims.
 constexpr std::chrono::milliseconds kBusyTick {5};
 constexpr std::chrono::milliseconds kIdleTick {100};
 constexpr std::chrono::milliseconds kReadRetry {200};
@@ -47,11 +47,11 @@
 }
 
 void
-ClaimService::want(ClaimWanted wanted, Decided decided)
+ClaimService::want(ClaimWanted wanted, OnDecided decided)
 {
     asio::post(m_io,
                [this, wanted = std::move(wanted), decided = std::move(decided)]() mutable {
-                   m_waiting.emplace(wanted.request, std::move(decided));
+                   m_pending.emplace(wanted.request, std::move(decided));
                    handle(std::move(wanted));
                });
 }
@@ -61,25 +61,25 @@
 {
     asio::post(m_io, [this, over = std::move(over)] {
         handle(over);
-        m_waiting.erase(over.request);
+        m_pending.erase(over.request);
     });
 }
 
 asio::awaitable<bool>
 ClaimService::is_claimed(std::string key)
 {
-    const auto look = [this, &key]() -> asio::awaitable<bool> {
+    const auto lookup = [this, &key]() -> asio::awaitable<bool> {
         const auto* state = m_claimer.ledger().find(key);
         co_return state && state->claimed;
     };
-    co_return co_await asio::co_spawn(m_io, look(), asio::use_awaitable);
+    co_return co_await asio::co_spawn(m_io, lookup(), asio::use_awaitable);
 }
 
 asio::awaitable<bool>
 ClaimService::is_idle()
 {
-    const auto look = [this]() -> asio::awaitable<bool> { co_return m_claimer.idle(); };
-    co_return co_await asio::co_spawn(m_io, look(), asio::use_awaitable);
+    const auto lookup = [this]() -> asio::awaitable<bool> { co_return m_claimer.idle(); };
+    co_return co_await asio::co_spawn(m_io, lookup(), asio::use_awaitable);
 }
 
 void
@@ -96,11 +96,11 @@
             continue;
         }
         auto& decision = std::get<DecideClaim>(action);
-        auto it = m_waiting.find(decision.request);
-        if (it == m_waiting.end())
+        auto it = m_pending.find(decision.request);
+        if (it == m_pending.end())
             continue;
-        const Decided decided = std::move(it->second);
-        m_waiting.erase(it);
+        const OnDecided decided = std::move(it->second);
+        m_pending.erase(it);
         decided(std::move(decision));
     }
     if (was_idle && !m_claimer.idle())
@@ -136,7 +136,7 @@
         handle(FirstRetained {page->first});
         Offset offset = page->from;
         for (const std::string& record : page->records) {
-            // A record that can't be read is one without entries, for everybody.
+            // All daemons treat an invalid record as one without entries.
             handle(ClaimRecordRead {offset, decode_claims(record).value_or(ClaimBatch {})});
             ++offset;
         }
--- a/src/libserve/hall/claim_service.h
+++ b/src/libserve/hall/claim_service.h
@@ -18,19 +18,19 @@
 
 namespace cypressford {
 
-/// Runs the Claimer of this daemon: appends and reads for it, and brings its
+/// Runs the Claimer of this daemon: appends and reads for it, and passes its
 /// decisions to the workers.  Lives on the control thread; the public members
 /// may be called from any thread.
 class ClaimService {
 public:
-    using Decided = std::function<void(DecideClaim)>;
+    using OnDecided = std::function<void(DecideClaim)>;
 
     ClaimService(boost::asio::io_context& io, Kernel& kernel, PlatformClient& platform);
 
     void start();
 
-    /// `decided` is called on the control thread.
-    void want(ClaimWanted wanted, Decided decided);
+    /// Requests a claim; `decided` is called on the control thread.
+    void want(ClaimWanted wanted, OnDecided decided);
     void over(ClaimOver over);
 
     /// True if the log holds a claim for the key that was not released.
@@ -53,7 +53,7 @@
     PlatformClient& m_platform;
     Claimer m_claimer;
     BootTimer m_tick;
-    std::unordered_map<RequestId, Decided> m_waiting;
+    std::unordered_map<RequestId, OnDecided> m_pending;
 };
 
 } // namespace cypressford
--- a/src/libserve/hall/hall_service.cpp
+++ b/src/libserve/hall/hall_service.cpp
@@ -28,22 +28,22 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::uint32_t kProtocol = 1;
-/// Peers that are told in each round.
-constexpr std::size_t kFanOut = 1;
-/// Daemons that follow the log for the hall.
-constexpr int kReaders = 2;
-/// News of an upstream is passed on for so many rounds after it was learnt,
-/// which reaches a hall of 20 with one peer told in each.
-constexpr Micros kNewsRounds = 6;
-/// Reports in one message, which bounds the bytes whatever happens.
+/// Peers per gossip round.
+constexpr std::size_t kGossipFanOut = 1;
+/// Daemons of the hall that read the log.
+constexpr int kLogReaders = 2;
+/// Rounds in which a changed report on an upstream is passed on, which
+/// reaches a hall of 20 with one peer in each round.
+constexpr Micros kReportRounds = 6;
+/// Reports in one message; bounds its size.
 constexpr std::size_t kMaxReports = 48;
-/// Every so many exchanges with a peer, members are named in full.
-constexpr int kMembersEvery = 30;
+/// One exchange with a peer in this many lists members in full.
+constexpr int kExchangesPerFullMembers = 30;
 /// Weight of the newest interval in an account's rate.
-constexpr double kRateWeight = 0.3;
-/// Accounts that use less than this part of their rate are not told of, and of
-/// the others no more than so many in one message.
-constexpr double kLeastPressure = 0.25;
+constexpr double kRateSmoothing = 0.3;
+/// Accounts that use less than this part of their rate are not sent; of the
+/// others at most kMaxAccounts are sent in one message.
+constexpr double kMinPressure = 0.25;
 constexpr std::size_t kMaxAccounts = 32;
 
 MemberInfo
@@ -86,7 +86,7 @@
           [this](const std::string& task, int count) {
               return m_membership.is_chosen(task, count, monotonic_us());
           },
-          [this] { tell_everyone(); })
+          [this] { exchange_with_all(); })
     , m_transport(kernel.settings.tls,
                   [this](const proto::PeerState& state, PeerTransport::Answer answer) {
                       asio::post(m_io, [this, state, answer = std::move(answer)] {
@@ -127,10 +127,10 @@
 HallService::announce_stop()
 {
     m_membership.set_stopping();
-    tell_everyone();
+    exchange_with_all();
 }
 
-// ------------------------------------------------------------ who is alive
+// ------------------------------------------------------------ membership
 
 asio::awaitable<void>
 HallService::gossip_loop()
@@ -138,10 +138,10 @@
     BootTimer timer(m_io);
     for (;;) {
         gossip_once();
-        // Spread, so that daemons that start together do not stay in step.
+        // Jitter, so that daemons that start together do not stay in step.
         const Micros interval = m_kernel.settings.gossip_interval;
-        const auto spread = static_cast<Micros>(m_random() % std::uint64_t(interval));
-        timer.expires_after(std::chrono::microseconds(interval / 2 + spread));
+        const auto jitter = static_cast<Micros>(m_random() % std::uint64_t(interval));
+        timer.expires_after(std::chrono::microseconds(interval / 2 + jitter));
         co_await timer.async_wait(kToTuple);
     }
 }
@@ -152,17 +152,17 @@
     const Micros now = monotonic_us();
     m_membership.beat(now);
     m_kernel.daemons_in_hall.store(m_membership.serving(now));
-    m_bundles.set_reader(m_membership.is_chosen("bundles", kReaders, now));
+    m_bundles.set_reader(m_membership.is_chosen("bundles", kLogReaders, now));
     update_shares(now);
-    m_watch.spread_marks();
-    // Known members, and from time to time one of the settings, so that halves
-    // of a hall that lost each other meet again.
+    m_watch.propagate_leaving_marks();
+    // Known members, and from time to time a peer from the settings, so that the
+    // parts of a partitioned hall find each other again.
     std::vector<std::string> targets = m_membership.others(now);
     std::shuffle(targets.begin(), targets.end(), m_random);
-    if (targets.size() > kFanOut)
-        targets.resize(kFanOut);
+    if (targets.size() > kGossipFanOut)
+        targets.resize(kGossipFanOut);
     const auto& peers = m_kernel.settings.peers;
-    if (!peers.empty() && (targets.size() < kFanOut || m_random() % 8 == 0))
+    if (!peers.empty() && (targets.size() < kGossipFanOut || m_random() % 8 == 0))
         targets.push_back(peers[m_random() % peers.size()]);
     std::sort(targets.begin(), targets.end());
     targets.erase(std::unique(targets.begin(), targets.end()), targets.end());
@@ -182,7 +182,7 @@
 }
 
 void
-HallService::tell_everyone()
+HallService::exchange_with_all()
 {
     if (m_kernel.settings.peers_address.empty())
         return;
@@ -209,23 +209,23 @@
     state.set_bundle_next(m_bundles.fold().next());
     if (peer_bundle_next < m_bundles.fold().next() && m_bundles.fold().has_base())
         state.set_bundle_snapshot(encode(m_bundles.fold().snapshot()));
-    int& told = m_told[peer];
-    add_members(state, told % kMembersEvery == 0 || members_in_full);
+    int& exchanges = m_exchanges[peer];
+    add_members(state, exchanges % kExchangesPerFullMembers == 0 || members_in_full);
     state.set_wants_members(std::exchange(m_wants_members, false));
     add_reports(state);
-    ++told;
+    ++exchanges;
     add_accounts(state);
     return state;
 }
 
-/// Only accounts that come near their rate matter to others, so those that use
-/// the largest part of it here are told of, and no more than a bounded number.
+/// Only accounts near their rate matter to other daemons, so those that use the
+/// largest part of it on this daemon are sent, up to a fixed number.
 void
 HallService::add_accounts(proto::PeerState& state)
 {
     std::vector<std::pair<double, std::uint64_t>> by_pressure;
     for (const auto& [account, use] : m_own_use)
-        if (use.pressure >= kLeastPressure)
+        if (use.pressure >= kMinPressure)
             by_pressure.emplace_back(use.pressure, account);
     const std::size_t count = std::min(kMaxAccounts, by_pressure.size());
     const auto middle = by_pressure.begin() + static_cast<std::ptrdiff_t>(count);
@@ -262,15 +262,17 @@
 HallService::add_reports(proto::PeerState& state)
 {
     const Micros now = monotonic_us();
-    const Micros since = now - kNewsRounds * m_kernel.settings.gossip_interval;
-    for (const UpstreamWatch::Observation* seen : m_watch.news(since, kMaxReports)) {
+    const Micros since = now - kReportRounds * m_kernel.settings.gossip_interval;
+    for (const UpstreamWatch::Observation* seen :
+         m_watch.recent_reports(since, kMaxReports)) {
         proto::UpstreamReport* report = state.add_reports();
         report->set_upstream(seen->id);
         report->set_in_flight(seen->report.in_flight);
         report->set_queued(seen->report.queued);
         report->set_incarnation(seen->report.incarnation);
         report->set_leaving(seen->report.leaving);
-        report->set_age_ms(static_cast<std::uint32_t>((now - seen->at) / kMillisecond));
+        report->set_age_ms(
+            static_cast<std::uint32_t>((now - seen->reported_at) / kMillisecond));
     }
 }
 
@@ -291,7 +293,7 @@
         if (!m_membership.hear_beat(beat.member(), beat.heartbeat(), beat.stopping(), now))
             m_wants_members = true;
     for (const proto::UpstreamReport& report : state.reports())
-        m_watch.observe(
+        m_watch.on_peer_report(
             report.upstream(),
             {report.in_flight(), report.queued(), report.incarnation(), report.leaving()},
             now - static_cast<Micros>(report.age_ms()) * kMillisecond);
@@ -301,7 +303,7 @@
         rates[use.account()] = use.admitted_per_s();
 }
 
-// ------------------------------------------------- how accounts are shared
+// ------------------------------------------------- shares of accounts
 
 void
 HallService::update_shares(Micros now)
@@ -312,24 +314,25 @@
     const double seconds = static_cast<double>(now - m_rates_at) / kSecond;
     m_rates_at = now;
     const int daemons = m_kernel.daemons_in_hall.load();
-    std::map<std::uint64_t, double> elsewhere;
+    std::map<std::uint64_t, double> peer_rates; ///< sums by account
     for (const auto& [peer, rates] : m_peer_rates)
         if (m_membership.state(peer, now) == MemberState::Alive)
             for (const auto& [account, rate] : rates)
-                elsewhere[account] += rate;
+                peer_rates[account] += rate;
     for (const ResolvedAccount& account : snapshot->bundle->accounts) {
         const std::uint64_t id = session_hash(account.spec.name);
         const std::uint64_t admitted
             = account.state->admitted.load(std::memory_order_relaxed);
-        std::uint64_t& before = m_admitted_before[id];
+        std::uint64_t& admitted_before = m_admitted_before[id];
         const double rate
-            = static_cast<double>(admitted - before) / std::max(seconds, 1e-3);
-        before = admitted;
+            = static_cast<double>(admitted - admitted_before) / std::max(seconds, 1e-3);
+        admitted_before = admitted;
         AccountRate& use = m_own_use[id];
-        use.rate += kRateWeight * (rate - use.rate);
+        use.rate += kRateSmoothing * (rate - use.rate);
         use.pressure = use.rate * daemons / account.spec.rate;
-        const auto others = elsewhere.find(id);
-        const double all = use.rate + (others == elsewhere.end() ? 0 : others->second);
+        const auto peer_rate = peer_rates.find(id);
+        const double all
+            = use.rate + (peer_rate == peer_rates.end() ? 0 : peer_rate->second);
         account.state->share.store(account_share(use.rate, all, daemons),
                                    std::memory_order_relaxed);
     }
--- a/src/libserve/hall/hall_service.h
+++ b/src/libserve/hall/hall_service.h
@@ -21,9 +21,9 @@
 
 class BundleService;
 
-/// What the daemons of a hall do together: they know who is alive, divide the
-/// watching of upstreams and tell each other what they saw, pass on bundles, and
-/// share out the rates of accounts.  Lives on the control thread.
+/// Cooperation of the daemons of a hall: membership, division of the polling of
+/// upstreams, exchange of load reports and bundles, and shares of the rates of
+/// accounts.  Lives on the control thread.
 class HallService {
 public:
     HallService(boost::asio::io_context& io, Kernel& kernel, PlatformClient& platform,
@@ -32,20 +32,20 @@
 
     Result<void> start();
 
-    /// True if this daemon is one of `count` that see to a task.
+    /// True if this daemon is one of the `count` daemons responsible for a task.
     bool is_chosen(std::string_view task, int count) const;
 
-    /// Tells the whole hall at once what is new.
-    void tell_everyone();
+    /// Exchanges state with all known peers at once, outside the gossip rounds.
+    void exchange_with_all();
 
-    /// Tells the whole hall at once that this daemon is stopping.
+    /// Announces to the whole hall at once that this daemon is stopping.
     void announce_stop();
 
 private:
-    /// What this daemon admits of one account.
+    /// This daemon's admissions for one account.
     struct AccountRate {
         double rate = 0; ///< requests per second
-        double pressure = 0; ///< part of the account's rate, were all daemons like this one
+        double pressure = 0; ///< part of the account's rate if all daemons admitted alike
     };
 
     boost::asio::awaitable<void> gossip_loop();
@@ -59,7 +59,7 @@
     void add_accounts(proto::PeerState& state);
     void add_reports(proto::PeerState& state);
 
-    // How accounts are shared out.
+    // Shares of accounts.
     void update_shares(Micros now);
 
     boost::asio::io_context& m_io;
@@ -69,8 +69,8 @@
     UpstreamWatch m_watch;
     PeerTransport m_transport;
     std::mt19937_64 m_random;
-    std::map<std::string, int> m_told; ///< exchanges with each peer
-    bool m_wants_members = false; ///< a sign of life came of a member not known here
+    std::map<std::string, int> m_exchanges; ///< number of exchanges with each peer
+    bool m_wants_members = false; ///< a keepalive of an unknown member arrived
     std::map<std::string, std::map<std::uint64_t, double>>
         m_peer_rates; ///< by peer, account
     std::map<std::uint64_t, AccountRate> m_own_use;
--- a/src/libserve/hall/peer_transport.cpp
+++ b/src/libserve/hall/peer_transport.cpp
@@ -18,11 +18,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds kExchangeTimeout {1000};
-/// Name that the certificates of all daemons carry: they are reached by IP
-/// number, so the name says what they are, not where.
+/// Name in the certificates of all daemons: daemons are addressed by IP number,
+/// so the name identifies their role, not a host.
 constexpr const char* kCertificateName = "cypressford";
-constexpr int kMaxMessage = 8 * 1024 * 1024;
-constexpr int kMaxReconnectMs = 2000;
+constexpr int kMaxMessageBytes = 8 * 1024 * 1024;
+constexpr int kMaxReconnectBackoffMs = 2000;
 
 std::string
 read_pem(const std::string& path)
@@ -56,7 +56,7 @@
     PeerTransport::Handler m_handler;
 };
 
-/// What one call needs until it ends.
+/// State of one call until it ends.
 struct Call {
     grpc::ClientContext context;
     proto::PeerState request;
@@ -91,8 +91,8 @@
         auto& stub = stubs[address];
         if (!stub) {
             grpc::ChannelArguments arguments;
-            arguments.SetMaxReceiveMessageSize(kMaxMessage);
-            arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectMs);
+            arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
+            arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxReconnectBackoffMs);
             arguments.SetSslTargetNameOverride(kCertificateName);
             stub = proto::Peer::NewStub(
                 grpc::CreateCustomChannel(address, channel_credentials, arguments));
@@ -123,12 +123,12 @@
 PeerTransport::listen(const std::string& address)
 {
     grpc::ServerBuilder builder;
-    builder.SetMaxReceiveMessageSize(kMaxMessage);
+    builder.SetMaxReceiveMessageSize(kMaxMessageBytes);
     builder.AddListeningPort(address, m_impl->server_credentials);
     builder.RegisterService(&m_impl->service);
     m_impl->server = builder.BuildAndStart();
     if (!m_impl->server)
-        return fail(ErrorKind::Internal, "can't listen for peers on " + address);
+        return fail(ErrorKind::Internal, "cannot listen for peers on " + address);
     return {};
 }
 
--- a/src/libserve/hall/peer_transport.h
+++ b/src/libserve/hall/peer_transport.h
@@ -17,12 +17,12 @@
 class PeerState;
 }
 
-/// Exchanges of state between the daemons of a hall, over gRPC.  All callbacks
-/// come on gRPC's threads.
+/// Exchanges state between the daemons of a hall, over gRPC.  All callbacks
+/// run on gRPC's threads.
 class PeerTransport {
 public:
     using Answer = std::function<void(const proto::PeerState&)>;
-    /// Answers a peer's state; `answer` may be called later, from any thread.
+    /// Handles a peer's state; `answer` may be called later, from any thread.
     using Handler = std::function<void(const proto::PeerState& state, Answer answer)>;
     using Done = std::function<void(bool ok, const proto::PeerState& state)>;
 
@@ -33,7 +33,7 @@
 
     Result<void> listen(const std::string& address);
 
-    /// Sends a state to a peer and gives its answer to `done`.
+    /// Sends a state to a peer and passes its answer to `done`.
     void exchange(const std::string& address, const proto::PeerState& state, Done done);
 
 private:
--- a/src/libserve/hall/placement_service.cpp
+++ b/src/libserve/hall/placement_service.cpp
@@ -21,23 +21,23 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kLeaseStep {200};
-constexpr std::chrono::milliseconds kWorkStep {1000};
+constexpr std::chrono::milliseconds kLeaseCheckInterval {200};
+constexpr std::chrono::milliseconds kPlacementInterval {1000};
 constexpr std::chrono::milliseconds kReadRetry {300};
 constexpr Micros kReadWait = 5 * kSecond;
 constexpr Micros kCallTimeout = 2 * kSecond;
-/// A daemon that begins to read starts this many records before the end: the
-/// holder's renewals are all among them.
-constexpr Offset kLookBack = 50;
+/// A daemon that starts to read the log begins this many records before its end:
+/// the lease holder's renewals are all among them.
+constexpr Offset kLookBackRecords = 50;
 
 } // namespace
 
 PlacementService::PlacementService(asio::io_context& io, Kernel& kernel,
-                                   PlatformClient& platform, Candidate candidate)
+                                   PlatformClient& platform, IsCandidate candidate)
     : m_io(io)
     , m_kernel(kernel)
     , m_platform(platform)
-    , m_candidate(std::move(candidate))
+    , m_is_candidate(std::move(candidate))
     , m_client(io)
     , m_lease("placement/" + kernel.settings.hall, kernel.incarnation,
               kernel.settings.lease)
@@ -63,7 +63,7 @@
 {
     BootTimer timer(m_io);
     for (;;) {
-        timer.expires_after(kLeaseStep);
+        timer.expires_after(kLeaseCheckInterval);
         co_await timer.async_wait(kToTuple);
         const Micros now = monotonic_us();
         const bool held = m_lease.held(now);
@@ -71,8 +71,8 @@
             LogEvent("placement_lease").kv("held", held).kv("fence", m_lease.fence());
         if (m_next < 0)
             continue;
-        const bool wanted = m_candidate() && !m_kernel.stopping.load();
-        const auto record = m_lease.next_append(wanted, now);
+        const bool is_candidate = m_is_candidate() && !m_kernel.stopping.load();
+        const auto record = m_lease.next_append(is_candidate, now);
         if (!record)
             continue;
         co_await m_platform.append(stream(), encode(*record));
@@ -85,7 +85,7 @@
 {
     BootTimer timer(m_io);
     for (;;) {
-        if (!m_candidate() && !m_kernel.holds_placement.load()) {
+        if (!m_is_candidate() && !m_kernel.holds_placement.load()) {
             m_next = -1;
             timer.expires_after(kReadRetry);
             co_await timer.async_wait(kToTuple);
@@ -100,7 +100,7 @@
             continue;
         }
         if (m_next < 0) {
-            m_next = std::max(page->first, page->next - kLookBack);
+            m_next = std::max(page->first, page->next - kLookBackRecords);
             if (m_next > 0)
                 m_lease.note_gap(monotonic_us());
             continue;
@@ -121,17 +121,17 @@
 {
     BootTimer timer(m_io);
     for (;;) {
-        timer.expires_after(kWorkStep);
+        timer.expires_after(kPlacementInterval);
         co_await timer.async_wait(kToTuple);
         if (m_lease.held(monotonic_us()))
             co_await place_once();
     }
 }
 
-std::vector<PlacementService::Wanted>
-PlacementService::wanted_models(const Snapshot& snapshot) const
+std::vector<PlacementService::RequiredModel>
+PlacementService::required_models(const Snapshot& snapshot) const
 {
-    std::vector<Wanted> result;
+    std::vector<RequiredModel> result;
     for (const ResolvedPipeline& pipeline : snapshot.bundle->pipelines) {
         for (std::size_t at = 0; at < pipeline.spec.stages.size(); ++at) {
             const StageSpec& stage = pipeline.spec.stages[at];
@@ -149,7 +149,7 @@
     return result;
 }
 
-/// Looks at what each engine has and orders what it lacks.
+/// Reads the models of each engine and orders the missing ones.
 asio::awaitable<void>
 PlacementService::place_once()
 {
@@ -158,18 +158,19 @@
         co_return;
     std::map<std::string, std::vector<std::string>> present;
     BootTimer timer(m_io);
-    for (const Wanted& wanted : wanted_models(*snapshot)) {
-        const std::string& address = wanted.engine->address;
+    for (const RequiredModel& required : required_models(*snapshot)) {
+        const std::string& address = required.engine->address;
         if (present.count(address) == 0)
-            present[address] = co_await models_of(wanted);
+            present[address] = co_await models_of(required);
         auto& models = present[address];
-        const std::string name = wanted.kind->model_name(wanted.model, wanted.adapter);
+        const std::string name
+            = required.kind->model_name(required.model, required.adapter);
         if (std::find(models.begin(), models.end(), name) != models.end())
             continue;
-        // The holder may have slept since it last looked.
+        // The lease may have expired while this daemon was suspended.
         if (!m_lease.held(monotonic_us()))
             co_return;
-        co_await order(wanted);
+        co_await send_order(required);
         models.push_back(name);
         timer.expires_after(std::chrono::microseconds(
             static_cast<Micros>(kSecond / m_kernel.settings.orders_per_s)));
@@ -178,27 +179,27 @@
 }
 
 asio::awaitable<std::vector<std::string>>
-PlacementService::models_of(const Wanted& wanted)
+PlacementService::models_of(const RequiredModel& required)
 {
     CallOptions options;
     options.deadline_us = monotonic_us() + kCallTimeout;
     const CallResult result = co_await m_client.call(
-        wanted.engine->address, wanted.kind->models_request(), std::move(options));
-    co_return wanted.kind->decode_models(result.response);
+        required.engine->address, required.kind->models_request(), std::move(options));
+    co_return required.kind->decode_models(result.response);
 }
 
 asio::awaitable<void>
-PlacementService::order(const Wanted& wanted)
+PlacementService::send_order(const RequiredModel& required)
 {
     CallOptions options;
     options.deadline_us = monotonic_us() + kCallTimeout;
     const CallResult result = co_await m_client.call(
-        wanted.engine->address,
-        wanted.kind->load_order(wanted.model, wanted.adapter, m_lease.fence()),
+        required.engine->address,
+        required.kind->load_order(required.model, required.adapter, m_lease.fence()),
         std::move(options));
     LogEvent("placement_order")
-        .kv("engine", wanted.engine->address)
-        .kv("model", wanted.kind->model_name(wanted.model, wanted.adapter))
+        .kv("engine", required.engine->address)
+        .kv("model", required.kind->model_name(required.model, required.adapter))
         .kv("fence", m_lease.fence())
         .kv("status", result.response.status);
 }
--- a/src/libserve/hall/placement_service.h
+++ b/src/libserve/hall/placement_service.h
@@ -18,23 +18,23 @@
 
 namespace cypressford {
 
-/// Sees to it that the engines of a hall have the models of the bundle in force.
+/// Ensures that the engines of a hall have the models of the bundle in force.
 /// One daemon of the hall does so at a time, under a lease from the log, with the
-/// lease's fencing token in each order, no faster than the weight store bears.
+/// lease's fencing token in each order, at a rate that the weight store can sustain.
 /// Lives on the control thread.
 class PlacementService {
 public:
-    /// True if this daemon is one of those that may hold the lease.
-    using Candidate = std::function<bool()>;
+    /// True if this daemon may hold the lease.
+    using IsCandidate = std::function<bool()>;
 
     PlacementService(boost::asio::io_context& io, Kernel& kernel, PlatformClient& platform,
-                     Candidate candidate);
+                     IsCandidate candidate);
 
     void start();
 
 private:
     /// A model that an engine should have.
-    struct Wanted {
+    struct RequiredModel {
         std::shared_ptr<UpstreamState> engine;
         const UpstreamKind* kind = nullptr;
         std::string model;
@@ -45,18 +45,19 @@
     boost::asio::awaitable<void> read_loop();
     boost::asio::awaitable<void> work_loop();
     boost::asio::awaitable<void> place_once();
-    boost::asio::awaitable<void> order(const Wanted& wanted);
-    boost::asio::awaitable<std::vector<std::string>> models_of(const Wanted& wanted);
-    std::vector<Wanted> wanted_models(const Snapshot& snapshot) const;
+    boost::asio::awaitable<void> send_order(const RequiredModel& required);
+    boost::asio::awaitable<std::vector<std::string>>
+    models_of(const RequiredModel& required);
+    std::vector<RequiredModel> required_models(const Snapshot& snapshot) const;
     std::string stream() const;
 
     boost::asio::io_context& m_io;
     Kernel& m_kernel;
     PlatformClient& m_platform;
-    Candidate m_candidate;
+    IsCandidate m_is_candidate;
     HttpClient m_client;
     Lease m_lease;
-    Offset m_next = -1; ///< next record to read; -1 before the first look
+    Offset m_next = -1; ///< next record to read; -1 before the first read
 };
 
 } // namespace cypressford
--- a/src/libserve/hall/upstream_watch.h
+++ b/src/libserve/hall/upstream_watch.h
@@ -18,56 +18,57 @@
 
 namespace cypressford {
 
-/// What the hall knows of its upstreams: asks those that fall to this daemon for
-/// their load, reads the node list if that falls to it, and keeps the newest
-/// report on each, from whichever daemon.  Lives on the control thread.
+/// The hall's view of its upstreams: polls the load of those that are assigned to
+/// this daemon, reads the node list if that is assigned to it, and stores the newest
+/// report on each, from any daemon.  Lives on the control thread.
 class UpstreamWatch {
 public:
     /// The newest report on an upstream.
     struct Observation {
-        std::uint64_t id = 0; ///< hash of the address, as peers name it
+        std::uint64_t id = 0; ///< hash of the address, as in messages of peers
         LoadReport report;
-        Micros at = 0; ///< when it was made, by our clock
-        Micros changed = 0; ///< when we learnt news of it
+        Micros reported_at = 0; ///< when the report was made, by this daemon's clock
+        Micros changed_at = 0; ///< when a changed report was last received
     };
-    /// True if a task of this name falls to this daemon.
-    using Chosen = std::function<bool(const std::string& task, int count)>;
+    /// True if the task of this name is assigned to this daemon.
+    using IsChosen = std::function<bool(const std::string& task, int count)>;
     /// Called when an upstream is found to be leaving.
-    using Leaving = std::function<void()>;
+    using OnLeaving = std::function<void()>;
 
     UpstreamWatch(boost::asio::io_context& io, Kernel& kernel, PlatformClient& platform,
-                  Chosen chosen, Leaving leaving);
+                  IsChosen chosen, OnLeaving leaving);
 
     void start();
 
     /// Takes a report from a peer.
-    void observe(std::uint64_t id, const LoadReport& report, Micros at);
+    void on_peer_report(std::uint64_t id, const LoadReport& report, Micros at);
 
-    /// Finds upstreams that told a worker, in an answer, that they are leaving.
-    void spread_marks();
+    /// Records upstreams that have announced to a worker, in an answer, that they are
+    /// leaving.
+    void propagate_leaving_marks();
 
-    /// What to tell a peer: upstreams that are leaving, then the newest news
-    /// since that time, no more than `limit` in all.
-    std::vector<const Observation*> news(Micros since, std::size_t limit) const;
+    /// Reports to send to a peer: upstreams that are leaving, then the newest changes
+    /// since that time, at most `limit` in all.
+    std::vector<const Observation*> recent_reports(Micros since, std::size_t limit) const;
 
 private:
     boost::asio::awaitable<void> list_loop();
-    boost::asio::awaitable<void> watch_loop();
-    boost::asio::awaitable<void> ask(std::shared_ptr<UpstreamState> upstream,
-                                     const UpstreamKind& kind);
-    void learn(const std::shared_ptr<UpstreamState>& upstream, const LoadReport& report,
-               Micros at, const char* source);
-    void refresh_names(const Snapshot& snapshot);
+    boost::asio::awaitable<void> poll_loop();
+    boost::asio::awaitable<void> poll(std::shared_ptr<UpstreamState> upstream,
+                                      const UpstreamKind& kind);
+    void record_report(const std::shared_ptr<UpstreamState>& upstream,
+                       const LoadReport& report, Micros at, const char* source);
+    void refresh_ids(const Snapshot& snapshot);
 
     boost::asio::io_context& m_io;
     Kernel& m_kernel;
     PlatformClient& m_platform;
-    Chosen m_chosen;
-    Leaving m_leaving;
+    IsChosen m_is_chosen;
+    OnLeaving m_on_leaving;
     HttpClient m_client;
     std::map<std::uint64_t, Observation> m_observations;
     std::map<std::uint64_t, std::shared_ptr<UpstreamState>> m_by_id;
-    std::uint64_t m_named_generation = 0;
+    std::uint64_t m_ids_generation = 0;
 };
 
 } // namespace cypressford
--- a/src/libserve/peers/peer_link.cpp
+++ b/src/libserve/peers/peer_link.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr Micros kConnectTime = 250 * kMillisecond;
-constexpr Micros kSignWaitLimit = 200 * kMillisecond;
+constexpr Micros kConnectTimeout = 250 * kMillisecond;
+constexpr Micros kKeepaliveTimeout = 200 * kMillisecond;
 constexpr int kOk = 200;
 
 } // namespace
@@ -33,13 +33,13 @@
     CallOptions options;
     options.handle = handle;
     options.deadline_us = monotonic_us() + order.time_left;
-    options.connect_deadline_us = monotonic_us() + kConnectTime;
-    m_open[address].insert(handle);
-    if (m_watched.insert(address).second)
+    options.connect_deadline_us = monotonic_us() + kConnectTimeout;
+    m_open_orders[address].insert(handle);
+    if (m_watched_addresses.insert(address).second)
         asio::co_spawn(m_io, watch(address), asio::detached);
     const CallResult result
         = co_await m_client.call(address, std::move(request), std::move(options));
-    m_open[address].erase(handle);
+    m_open_orders[address].erase(handle);
     if (result.status != CallStatus::Answered || result.response.status != kOk)
         co_return fail(ErrorKind::UpstreamFailed, address);
     co_return decode_piece_answer(result.response.body);
@@ -48,24 +48,24 @@
 void
 PeerLink::cancel_orders(const std::string& address)
 {
-    const auto lost = m_open[address];
-    for (const auto& handle : lost)
+    const auto open = m_open_orders[address];
+    for (const auto& handle : open)
         handle->cancel();
 }
 
-/// A message that is answered at once.
+/// Sends a message that the peer answers at once.
 asio::awaitable<CallResult>
 PeerLink::post(std::string address, const char* path, std::string body)
 {
     HttpRequest request = protobuf_post(path, std::move(body));
     CallOptions options;
-    options.deadline_us = monotonic_us() + kSignWaitLimit;
+    options.deadline_us = monotonic_us() + kKeepaliveTimeout;
     co_return co_await m_client.call(std::move(address), std::move(request),
                                      std::move(options));
 }
 
 asio::awaitable<bool>
-PeerLink::tell_releases(std::string address, Releases releases)
+PeerLink::send_releases(std::string address, Releases releases)
 {
     const CallResult result
         = co_await post(std::move(address), kReleasePath, encode(releases));
@@ -81,14 +81,14 @@
     co_return decode_place_answer(result.response.body);
 }
 
-/// Status of the answer to a request for a sign of life; 0 for none.
+/// Status of the answer to a keepalive request; 0 for none.
 asio::awaitable<int>
-PeerLink::sign_of(std::string address)
+PeerLink::keepalive_status(std::string address)
 {
     HttpRequest request;
     request.target = kAlivePath;
     CallOptions options;
-    options.deadline_us = monotonic_us() + kSignWaitLimit;
+    options.deadline_us = monotonic_us() + kKeepaliveTimeout;
     const CallResult result
         = co_await m_client.call(address, std::move(request), std::move(options));
     co_return result.status == CallStatus::Answered ? result.response.status : 0;
@@ -97,7 +97,7 @@
 asio::awaitable<bool>
 PeerLink::is_alive(std::string address)
 {
-    const int status = co_await sign_of(address);
+    const int status = co_await keepalive_status(address);
     co_return status == kOk;
 }
 
@@ -110,15 +110,15 @@
     while (pause) {
         timer.expires_after(std::chrono::microseconds(*pause));
         co_await timer.async_wait(kToTuple);
-        if (m_open[address].empty())
+        if (m_open_orders[address].empty())
             break;
-        // Any answer will do: a daemon that is stopping finishes what it has.
-        const int status = co_await sign_of(address);
+        // Any answer counts: a daemon that is stopping still completes its orders.
+        const int status = co_await keepalive_status(address);
         pause = detector.next_pause(status != 0);
     }
     if (!pause)
         cancel_orders(address);
-    m_watched.erase(address);
+    m_watched_addresses.erase(address);
 }
 
 } // namespace cypressford
--- a/src/libserve/peers/peer_link.h
+++ b/src/libserve/peers/peer_link.h
@@ -18,9 +18,9 @@
 
 namespace cypressford {
 
-/// Orders of pieces to other daemons.  While a daemon has orders of ours it is
-/// asked for a sign of life; one that gives none loses them, since an order itself
-/// may rightly take long.  Lives on one thread.
+/// Orders pieces from other daemons.  While a daemon has open orders of this one it is sent
+/// keepalive requests, since an order itself may legitimately take long; the orders of a
+/// daemon that does not answer them are cancelled.  Lives on one thread.
 class PeerLink {
 public:
     PeerLink(boost::asio::io_context& io, const Kernel& kernel)
@@ -30,17 +30,17 @@
     {
     }
 
-    /// An error says that the daemon did not answer or took no order.
+    /// An error means that the daemon did not answer or did not accept the order.
     boost::asio::awaitable<Result<PieceAnswer>> order(std::string address, PieceOrder order,
                                                       std::shared_ptr<CallHandle> handle);
 
-    /// Orders that are open at the daemon are lost.
+    /// Cancels the orders that are open at the daemon.
     void cancel_orders(const std::string& address);
 
-    /// False: the daemon did not take note.
-    boost::asio::awaitable<bool> tell_releases(std::string address, Releases releases);
+    /// False: the daemon did not confirm the releases.
+    boost::asio::awaitable<bool> send_releases(std::string address, Releases releases);
 
-    /// An error says that the daemon did not answer.
+    /// An error means that the daemon did not answer.
     boost::asio::awaitable<Result<PlaceAnswer>> place(std::string address,
                                                       PlaceQuery query);
 
@@ -56,12 +56,13 @@
     boost::asio::awaitable<CallResult> post(std::string address, const char* path,
                                             std::string body);
     boost::asio::awaitable<void> watch(std::string address);
-    boost::asio::awaitable<int> sign_of(std::string address);
+    boost::asio::awaitable<int> keepalive_status(std::string address);
     boost::asio::io_context& m_io;
     const Kernel& m_kernel;
     HttpClient m_client;
-    std::map<std::string, std::set<std::shared_ptr<CallHandle>>> m_open; ///< by address
-    std::set<std::string> m_watched;
+    std::map<std::string, std::set<std::shared_ptr<CallHandle>>>
+        m_open_orders; ///< by address
+    std::set<std::string> m_watched_addresses;
 };
 
 } // namespace cypressford
--- a/src/libserve/peers/peer_watch.cpp
+++ b/src/libserve/peers/peer_watch.cpp
@@ -22,16 +22,17 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// A daemon that lost an order leads nothing for so long, and until it gives a sign
-/// of life.  Doubles with each that it does not give: after all nodes have lost power they
-/// start within 0.3 s of each other, and who came first would shun who came last.
-constexpr std::chrono::milliseconds kFirstSuspectTime {200};
-constexpr std::chrono::milliseconds kLongestSuspectTime {1600};
-/// Between checks of those that lead.
-constexpr Micros kCheckPace = 500 * kMillisecond;
-/// Of each set its leader and the next are checked: a hall that goes takes both with it
-/// in 1 of 25 cases where there are five halls.
-constexpr std::size_t kCheckedOfSet = 2;
+/// A daemon that did not answer an order leads no set for this time, and until it answers a
+/// keepalive request.  Doubles with each unanswered request.  Short at first, since nodes
+/// that have all lost power start within 0.3 s of each other, and a daemon that starts
+/// early would exclude those that start late.
+constexpr std::chrono::milliseconds kMinSuspectTime {200};
+constexpr std::chrono::milliseconds kMaxSuspectTime {1600};
+/// Minimum time between checks of the leaders.
+constexpr Micros kLeaderCheckInterval = 500 * kMillisecond;
+/// Of each set the leader and the next one are checked: a hall that fails takes both with
+/// it in 1 of 25 cases where there are five halls.
+constexpr std::size_t kCheckedLeadersPerSet = 2;
 
 } // namespace
 
@@ -74,7 +75,7 @@
     if (!m_daemons.suspect(address))
         return;
     LogEvent("leader_suspected", LogLevel::Warn).kv("leader", address).kv("told", false);
-    m_watched.insert(address);
+    m_locally_suspected.insert(address);
     if (m_kernel.on_peer_lost)
         m_kernel.on_peer_lost(address);
     m_link.cancel_orders(address);
@@ -86,30 +87,32 @@
 PeerWatch::take_unreachable(std::set<std::string> addresses)
 {
     for (const std::string& address : addresses) {
-        if (m_told.contains(address) || !m_daemons.suspect(address))
+        if (m_reported_unreachable.contains(address) || !m_daemons.suspect(address))
             continue;
         LogEvent("leader_suspected", LogLevel::Warn).kv("leader", address).kv("told", true);
         m_link.cancel_orders(address);
     }
-    for (const std::string& address : m_told)
-        if (!addresses.contains(address) && !m_watched.contains(address))
+    for (const std::string& address : m_reported_unreachable)
+        if (!addresses.contains(address) && !m_locally_suspected.contains(address))
             m_daemons.trust(address);
-    m_told = std::move(addresses);
+    m_reported_unreachable = std::move(addresses);
 }
 
-/// Daemons often go together.  Those that lead, or would next, are asked at once, so that
-/// orders do not find out one daemon after the other.  No others: when 295 daemons lose one
-/// leader, asking everybody is 86,700 calls, 0.6 s of a node of 0.12 of a core.
+/// Daemons often fail together.  The leaders and their successors are checked at once, so
+/// that failures are not discovered one by one through orders.  Only these: when 295
+/// daemons lose one leader, checking all daemons is 86,700 calls, 0.6 s of a node of 0.12
+/// of a core.
 void
 PeerWatch::check_leaders()
 {
     const SnapshotPtr snapshot = m_kernel.snapshot.load();
-    if (!snapshot || monotonic_us() - m_checked_at < kCheckPace)
+    if (!snapshot || monotonic_us() - m_leaders_checked_at < kLeaderCheckInterval)
         return;
-    m_checked_at = monotonic_us();
+    m_leaders_checked_at = monotonic_us();
     std::set<std::string> checked;
     for (const UpstreamSet& set : snapshot->sets)
-        for (std::string& address : m_daemons.next_leaders(set.spec.name, kCheckedOfSet))
+        for (std::string& address :
+             m_daemons.next_leaders(set.spec.name, kCheckedLeadersPerSet))
             checked.insert(std::move(address));
     for (const std::string& address : checked)
         asio::co_spawn(m_io, check(address), asio::detached);
@@ -128,17 +131,17 @@
 PeerWatch::watch_suspect(std::string address)
 {
     BootTimer timer(m_io);
-    std::chrono::milliseconds time = kFirstSuspectTime;
+    std::chrono::milliseconds time = kMinSuspectTime;
     bool is_alive = false;
-    // Of one that is gone the directory tells; it is not asked for ever.
+    // Ends, too, when the directory no longer lists the daemon.
     while (!is_alive && m_daemons.is_suspected(address)) {
         timer.expires_after(time);
         co_await timer.async_wait(kToTuple);
-        time = std::min(2 * time, kLongestSuspectTime);
+        time = std::min(2 * time, kMaxSuspectTime);
         is_alive = co_await m_link.is_alive(address);
     }
-    m_watched.erase(address);
-    if (!m_told.contains(address))
+    m_locally_suspected.erase(address);
+    if (!m_reported_unreachable.contains(address))
         m_daemons.trust(address);
 }
 
--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -18,13 +18,13 @@
 
 namespace cypressford {
 
-/// Which daemons there are, and which of them answer.  One that loses an order is
-/// suspected until it gives a sign of life.  Lives on one thread.
+/// Tracks which daemons exist, and which of them answer.  A daemon that does not answer an
+/// order is suspected until it answers a keepalive request.  Lives on one thread.
 class PeerWatch {
 public:
     PeerWatch(boost::asio::io_context& io, Kernel& kernel, PeerLink& link);
 
-    /// Records that were read from the directory.
+    /// Applies records that were read from the directory.
     void take(const std::vector<DaemonRecord>& records);
 
     /// Address of the daemon that leads the set; empty for this daemon itself.
@@ -33,8 +33,8 @@
         return m_daemons.leader_of(set_name);
     }
 
-    /// Daemons that another one of the hall has found not to answer, and no others: they
-    /// lead nothing while they are named.
+    /// Daemons that another daemon of the hall has found unreachable; replaces the previous
+    /// list.  They lead no set while they are on it.
     void take_unreachable(std::set<std::string> addresses);
 
     void note_answer(const std::string& address);
@@ -49,9 +49,11 @@
     Kernel& m_kernel;
     PeerLink& m_link;
     DaemonTable m_daemons;
-    std::set<std::string> m_told; ///< unreachable ones, as told
-    std::set<std::string> m_watched; ///< those that this daemon found out itself
-    Micros m_checked_at = 0; ///< when those that lead were last asked for a sign of life
+    std::set<std::string>
+        m_reported_unreachable; ///< unreachable daemons reported by another one
+    std::set<std::string>
+        m_locally_suspected; ///< suspected by this daemon's own observation
+    Micros m_leaders_checked_at = 0; ///< when leaders were last sent keepalive requests
 };
 
 } // namespace cypressford
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -44,7 +44,7 @@
     , m_link(io, kernel)
     , m_peers(io, kernel, m_link)
     , m_outbox(io, [this](Releases releases) {
-        asio::co_spawn(m_io, tell_releases(std::move(releases)), asio::detached);
+        asio::co_spawn(m_io, send_releases(std::move(releases)), asio::detached);
     })
 {
 }
@@ -345,10 +345,10 @@
 /// The daemon that leads the set releases results at their keepers, so that it
 /// knows what memory there is; if it is silent, they are released from here.
 asio::awaitable<void>
-PieceService::tell_releases(Releases releases)
+PieceService::send_releases(Releases releases)
 {
     const std::string leader = m_peers.leader_of(releases.upstream_set);
-    const bool told = !leader.empty() && co_await m_link.tell_releases(leader, releases);
+    const bool told = !leader.empty() && co_await m_link.send_releases(leader, releases);
     if (!told)
         m_leader.take_releases(releases);
 }
--- a/src/libserve/pieces/piece_service.h
+++ b/src/libserve/pieces/piece_service.h
@@ -67,7 +67,7 @@
     boost::asio::awaitable<PlaceAnswer> place(JobPtr job, std::string near,
                                               std::int64_t near_bytes, bool reserve);
     void free_now(const std::vector<PieceHandle>& results);
-    boost::asio::awaitable<void> tell_releases(Releases releases);
+    boost::asio::awaitable<void> send_releases(Releases releases);
     void note_wait(const PieceJob& job, const std::string& set_name, Micros wait);
 
     boost::asio::io_context& m_io;
--- a/src/libserve/suspects/suspect_writer.cpp
+++ b/src/libserve/suspects/suspect_writer.cpp
@@ -65,7 +65,7 @@
 {
     SuspectOutbox::Entry& open = m_outbox.open(wall_ms());
     open.record.ends.push_back(std::move(end));
-    m_directory.take_own_suspects(open.key, open.record);
+    m_directory.apply_own_suspects(open.key, open.record);
     begin_writing();
 }
 
@@ -74,7 +74,7 @@
 {
     SuspectOutbox::Entry& open = m_outbox.open(wall_ms());
     open.record.answered.push_back(digest);
-    m_directory.take_own_suspects(open.key, open.record);
+    m_directory.apply_own_suspects(open.key, open.record);
     begin_writing();
 }
 
@@ -100,7 +100,7 @@
         const auto written
             = co_await m_directory.write(DirectoryTopic::Suspects, std::move(entry));
         if (written) {
-            m_directory.note_suspects_written(first.key);
+            m_directory.mark_suspects_written(first.key);
             m_outbox.drop_first();
             rest = kFirstPause;
             continue;
@@ -122,7 +122,7 @@
             = co_await m_directory.write(DirectoryTopic::Suspects, std::move(record));
         if (!written)
             co_return false;
-        m_directory.note_suspects_written(key);
+        m_directory.mark_suspects_written(key);
     }
     co_return true;
 }
