--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -131,7 +131,7 @@
     boost::asio::awaitable<bool> is_responsive(std::string peers_address);
     void apply_unreachable_list(const UnreachableList& list);
     /// Handles the log generation that another daemon reports.
-    void hear_generation(LogGeneration told);
+    void hear_generation(LogGeneration reported);
     /// The log was restored from an older copy: lists again, and rewrites what the log may
     /// have lost.
     void recover_from_restore(std::string_view reported_by);
@@ -139,8 +139,8 @@
     boost::asio::awaitable<void> pause(Micros time);
 
     DirectorySource source() const;
-    /// The reader's answer is late or still arriving, so topics that the reader should have
-    /// updated are not held against it.
+    /// The reader's answer is late or still arriving, so a topic without updates is no
+    /// reason to suspect the reader.
     bool is_reader_busy() const { return m_reader_watch && m_reader_watch->is_busy(); }
     void update_source(const DirectorySource& from);
     void suspect_reader(const DaemonRecord& reader, std::string_view reason);
@@ -165,11 +165,11 @@
     ResolvedBundlePtr m_applied; ///< the configuration in force
     std::uint64_t m_applied_revision = 0;
     std::uint64_t m_applied_suspects_revision = 0;
-    Micros m_decode_us = 0; ///< time that applying the last records took
+    Micros m_decode_us = 0; ///< time to decode and apply the last records
     Evacuations m_evacuations;
     Micros m_last_contact = 0;
-    Micros m_daemons_passed_at
-        = -1; ///< time of the daemon records last passed to m_on_daemons
+    /// `as_of` of the daemons' records that were last passed to m_on_daemons.
+    Micros m_daemons_passed_at = -1;
     bool m_platform_reachable = true;
     std::set<std::tuple<DirectoryTopic, std::string, std::string>> m_invalid_logged;
     std::uint64_t m_own_sequence = 0;
--- a/src/libserve/directory/reader_watch.h
+++ b/src/libserve/directory/reader_watch.h
@@ -32,7 +32,7 @@
     /// within the time limit.
     boost::asio::awaitable<void> run(Micros late_at, Micros keepalive_timeout);
 
-    /// The answer has begun to arrive.
+    /// The answer has started to arrive.
     void note_begun();
     /// The query was answered or cancelled, or it failed.
     void end();
