--- a/src/cypressfordd/cypressfordd.cpp
+++ b/src/cypressfordd/cypressfordd.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// cypressfordd: the daemon of every entry node.
+/// cypressfordd: the daemon that runs on every entry node.
 
 #include <csignal>
 #include <cstdlib>
@@ -46,35 +46,35 @@
     return cypressford::parse_settings(text.str());
 }
 
-/// Holds SIGHUP and SIGTERM back while it lives, in this thread and in those that it
-/// starts meanwhile: without handlers they would end the process.
-class HeldSignals {
+/// Blocks SIGHUP and SIGTERM during its lifetime, in this thread and in threads started
+/// meanwhile: as long as no handlers are installed they would end the process.
+class BlockedSignals {
 public:
-    HeldSignals()
+    BlockedSignals()
     {
         sigemptyset(&m_signals);
         sigaddset(&m_signals, SIGHUP);
         sigaddset(&m_signals, SIGTERM);
         pthread_sigmask(SIG_BLOCK, &m_signals, nullptr);
     }
-    ~HeldSignals() { pthread_sigmask(SIG_UNBLOCK, &m_signals, nullptr); }
-    HeldSignals(const HeldSignals&) = delete;
-    HeldSignals& operator=(const HeldSignals&) = delete;
+    ~BlockedSignals() { pthread_sigmask(SIG_UNBLOCK, &m_signals, nullptr); }
+    BlockedSignals(const BlockedSignals&) = delete;
+    BlockedSignals& operator=(const BlockedSignals&) = delete;
 
 private:
     sigset_t m_signals {};
 };
 
 /// Ends the process without running destructors of static objects.  The logging
-/// library's pool of threads, which nothing here uses, blocks all signals; where a
-/// platform stops and wakes threads by signals, waiting for that pool never ends and a
-/// stopped daemon would stay until it is killed.  Lines of the log are written at once,
+/// library's thread pool, which is unused here, blocks all signals; on a platform that
+/// suspends and resumes threads by signals, waiting for that pool never ends and a
+/// stopped daemon would remain until it is killed.  Log lines are written at once,
 /// so nothing is left to flush.
 [[noreturn]] void
 end_process(int code)
 {
 #if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
-    std::exit(code); // a sanitizer reports from there
+    std::exit(code); // sanitizers report at exit
 #else
     std::quick_exit(code);
 #endif
@@ -86,7 +86,7 @@
 main(int argc, char** argv)
 {
     using namespace cypressford;
-    auto held_signals = std::make_unique<HeldSignals>();
+    auto blocked_signals = std::make_unique<BlockedSignals>();
     absl::SetProgramUsageMessage("Serves multi-stage model pipelines.\n"
                                  "Example: cypressfordd --settings=/etc/cypressford.yaml");
     absl::ParseCommandLine(argc, argv);
@@ -101,7 +101,7 @@
     int code = kOk;
     {
         Daemon daemon(*std::move(settings), [path] { return read_settings(path); });
-        held_signals.reset(); // the daemon has handlers for them now
+        blocked_signals.reset(); // the daemon has installed its handlers
         if (const auto started = daemon.start()) {
             daemon.run_until_stopped();
         } else {
--- a/src/httplog.platform/httplog.cpp
+++ b/src/httplog.platform/httplog.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform over HTTP with JSON pages.
+/// Platform client that speaks HTTP with JSON bodies.
 
 #include <cypressford/platform.h>
 #include <cypressford/registry.h>
@@ -36,7 +36,7 @@
         const boost::json::object& body = answer->body;
         const auto offset = json_integer<Offset>(body, "offset", -1);
         if (offset < 0)
-            co_return fail(ErrorKind::Internal, "append without an offset");
+            co_return fail(ErrorKind::Internal, "append answered without an offset");
         co_return offset;
     }
 
@@ -86,31 +86,32 @@
     }
 
 private:
-    /// An answer that says something: whole, or "not modified".
+    /// A valid answer: a complete JSON body, or "not modified".
     struct Answer {
         int status = 0;
-        std::string tag; ///< names the state that was read
+        std::string tag; ///< ETag of the state that was read
         boost::json::object body;
     };
 
     asio::awaitable<Result<Answer>> exchange(std::string address, HttpRequest request,
-                                             Micros extra)
+                                             Micros extra_wait)
     {
         request.headers.add("X-Hall", m_settings.hall);
         CallOptions options;
-        options.deadline_us = monotonic_us() + m_settings.timeout + extra;
+        options.deadline_us = monotonic_us() + m_settings.timeout + extra_wait;
         options.body = kLargeBody;
         const CallResult result
             = co_await m_client->call(std::move(address), std::move(request), options);
         const HttpResponse& response = result.response;
         Answer answer {response.status, std::string(response.headers.get("ETag")), {}};
         if (result.status != CallStatus::Answered)
-            co_return fail(ErrorKind::Internal, "the platform did not answer");
+            co_return fail(ErrorKind::Internal, "no answer from the platform");
         if (response.status == kNotModified)
             co_return answer;
         auto body = parse_json_object(response.body);
         if (response.status != kOk || !body)
-            co_return fail(ErrorKind::Internal, "the platform refused or answered no JSON");
+            co_return fail(ErrorKind::Internal,
+                           "platform answered with an error status or without a JSON body");
         answer.body = *std::move(body);
         co_return answer;
     }
@@ -120,7 +121,7 @@
 
     PlatformSettings m_settings;
     std::vector<NodeEntry> m_nodes; ///< as last read
-    std::string m_nodes_tag; ///< names that state of the list
+    std::string m_nodes_tag; ///< ETag of that list
     std::unique_ptr<HttpClient> m_client;
 };
 
--- a/src/libserve/daemon.cpp
+++ b/src/libserve/daemon.cpp
@@ -39,19 +39,19 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kStopCheck {20};
-/// The last of so many parts of a stop's time is left for ending the process.
-constexpr Micros kStopParts = 20;
-/// So long before a stop must end, requests that still wait are refused, so that their
-/// answers reach the callers.
-constexpr Micros kLastAnswers = 400 * kMillisecond;
-/// Daemons of a hall that follow the lease on placing models.
+constexpr std::chrono::milliseconds kStopCheckInterval {20};
+/// One part in this many of the stop limit is reserved for ending the process.
+constexpr Micros kStopLimitDivisor = 20;
+/// Waiting requests are refused this long before a stop must end, so that the refusals
+/// still reach their callers.
+constexpr Micros kRefusalLeadTime = 400 * kMillisecond;
+/// Number of daemons in a hall that compete for the model placement lease.
 constexpr int kPlacementCandidates = 2;
 
 } // namespace
 
-/// What runs on the product's own log: claims, bundles, hall and placement.  A
-/// directory makes them needless.
+/// Services built on the project's own log: claims, bundles, hall and placement.  Not
+/// needed with a directory.
 struct LogServices {
     LogServices(asio::io_context& io, Kernel& kernel)
         : platform(Registry<PlatformClient>::instance().make(kernel.settings.platform.kind))
@@ -105,9 +105,9 @@
             return;
         pieces = std::make_unique<PieceService>(workers.front()->io(), kernel);
         kernel.pieces = pieces.get();
-        kernel.on_standstill
+        kernel.on_suspension_detected
             = [this] { asio::post(control, [this] { directory->note_standstill(); }); };
-        kernel.on_peer_lost = [this](std::string address) {
+        kernel.on_peer_unreachable = [this](std::string address) {
             asio::post(control,
                        [this, lost = std::move(address)] { directory->report_lost(lost); });
         };
@@ -131,8 +131,8 @@
             asio::post(worker->io(), [w = worker.get(), action] { action(*w); });
     }
 
-    /// Readiness and metrics at addresses of their own, if settings want that.
-    Result<void> open_side_doors()
+    /// Opens separate listeners for readiness and metrics, if the settings name addresses.
+    Result<void> open_auxiliary_servers()
     {
         const auto open
             = [this](const std::string& address,
@@ -153,35 +153,36 @@
         if (!ready)
             return tl::unexpected(ready.error());
         readiness = *std::move(ready);
-        auto figures
+        auto metrics_server
             = open(kernel.settings.metrics_address, [this](HttpExchange& exchange) {
                   return serve_metrics(kernel, exchange);
               });
-        if (!figures)
-            return tl::unexpected(figures.error());
-        metrics = *std::move(figures);
+        if (!metrics_server)
+            return tl::unexpected(metrics_server.error());
+        metrics = *std::move(metrics_server);
         return {};
     }
 
     asio::awaitable<bool> workers_idle()
     {
         if (pieces) {
-            const auto look
+            const auto check_idle
                 = [this]() -> asio::awaitable<bool> { co_return pieces->is_idle(); };
-            if (!co_await asio::co_spawn(workers.front()->io(), look(),
+            if (!co_await asio::co_spawn(workers.front()->io(), check_idle(),
                                          asio::use_awaitable))
                 co_return false;
         }
         for (auto& worker : workers) {
             Worker* w = worker.get();
-            const auto look = [w]() -> asio::awaitable<bool> { co_return w->is_idle(); };
-            if (!co_await asio::co_spawn(w->io(), look(), asio::use_awaitable))
+            const auto check_idle
+                = [w]() -> asio::awaitable<bool> { co_return w->is_idle(); };
+            if (!co_await asio::co_spawn(w->io(), check_idle(), asio::use_awaitable))
                 co_return false;
         }
         co_return true;
     }
 
-    asio::awaitable<void> follow_settings()
+    asio::awaitable<void> reload_on_hangup()
     {
         for (;;) {
             auto [ec, number] = co_await hangup.async_wait(kToTuple);
@@ -217,14 +218,14 @@
         control.stop();
     }
 
-    /// Readiness falls first; the balancer then sends nothing new, and what is
-    /// here is finished.
+    /// Clears readiness first, so that the balancer sends no new requests, and then
+    /// finishes the requests in progress.
     asio::awaitable<void> planned_stop()
     {
         LogEvent("stop_begin");
         const auto settings = kernel.reloaded.load();
-        const Micros limit
-            = monotonic_us() + settings->stop_limit / kStopParts * (kStopParts - 1);
+        const Micros limit = monotonic_us()
+            + settings->stop_limit / kStopLimitDivisor * (kStopLimitDivisor - 1);
         kernel.stopping.store(true);
         on_workers([](Worker& worker) { worker.close_after_answers(); });
         if (log)
@@ -232,16 +233,16 @@
         else
             directory->announce_stop();
         BootTimer timer(control);
-        timer.expires_after(std::chrono::microseconds(settings->stop_grace));
+        timer.expires_after(std::chrono::microseconds(settings->stop_grace_period));
         co_await timer.async_wait(kToTuple);
         on_workers([](Worker& worker) { worker.stop_accepting(); });
         bool idle = false;
         bool refused = false;
         while (!idle && monotonic_us() < limit) {
-            if (monotonic_us() >= limit - kLastAnswers && !std::exchange(refused, true))
-                on_workers([](Worker& worker) { worker.answer_waiting(); });
+            if (monotonic_us() >= limit - kRefusalLeadTime && !std::exchange(refused, true))
+                on_workers([](Worker& worker) { worker.answer_waiting_requests(); });
             on_workers([](Worker& worker) { worker.close_idle(); });
-            timer.expires_after(kStopCheck);
+            timer.expires_after(kStopCheckInterval);
             co_await timer.async_wait(kToTuple);
             idle = co_await workers_idle() && (!log || co_await log->claims.is_idle());
         }
@@ -251,7 +252,7 @@
 
     asio::io_context control {1};
     Kernel kernel;
-    std::unique_ptr<LogServices> log; ///< one of these two
+    std::unique_ptr<LogServices> log; ///< exactly one of `log` and `directory` is set
     std::unique_ptr<DirectoryWatch> directory;
     std::unique_ptr<EndWatch> ends;
     std::unique_ptr<SuspectWriter> suspects;
@@ -261,7 +262,7 @@
     asio::signal_set signals;
     asio::signal_set hangup;
     std::vector<std::unique_ptr<Worker>> workers;
-    std::unique_ptr<PieceService> pieces; ///< on the first worker's thread
+    std::unique_ptr<PieceService> pieces; ///< runs on the first worker's thread
 };
 
 Daemon::Daemon(Settings settings, ReadSettings read_settings)
@@ -283,7 +284,7 @@
     for (auto& worker : impl.workers)
         if (auto port = worker->listen(address); !port)
             return tl::unexpected(port.error());
-    if (auto opened = impl.open_side_doors(); !opened)
+    if (auto opened = impl.open_auxiliary_servers(); !opened)
         return opened;
     if (impl.pieces)
         if (auto open = impl.pieces->listen(impl.kernel.settings.peers_address); !open)
@@ -298,7 +299,7 @@
     for (auto& worker : impl.workers)
         worker->start();
     asio::co_spawn(impl.control, impl.wait_for_signal(), asio::detached);
-    asio::co_spawn(impl.control, impl.follow_settings(), asio::detached);
+    asio::co_spawn(impl.control, impl.reload_on_hangup(), asio::detached);
     const Settings& settings = impl.kernel.settings;
     LogEvent("daemon_start")
         .kv("callers", settings.callers_address)
--- a/src/libserve/daemon.h
+++ b/src/libserve/daemon.h
@@ -11,13 +11,13 @@
 
 namespace cypressford {
 
-/// A whole daemon: workers for callers, one control thread for the rest.
+/// A complete daemon: worker threads for callers, one control thread for everything else.
 class Daemon {
 public:
-    /// Reads the settings anew and checks them.
+    /// Reads the settings again and checks them.
     using ReadSettings = std::function<tl::expected<Settings, std::vector<Fault>>()>;
 
-    /// `read_settings` is called at each SIGHUP; settings with faults change nothing.
+    /// `read_settings` is called at each SIGHUP; settings with faults are not applied.
     Daemon(Settings settings, ReadSettings read_settings);
     ~Daemon();
     Daemon(const Daemon&) = delete;
@@ -26,8 +26,8 @@
     /// Binds all addresses and starts the threads.
     Result<void> start();
 
-    /// Returns after a planned stop (first SIGTERM or SIGINT) is through, or at
-    /// once on a second signal.
+    /// Returns when a planned stop (first SIGTERM or SIGINT) has finished, or at once on a
+    /// second signal.
     void run_until_stopped();
 
 private:
--- a/src/libserve/directory/directory_watch.cpp
+++ b/src/libserve/directory/directory_watch.cpp
@@ -43,7 +43,7 @@
     , m_store(io, kernel)
     , m_peers(io)
     , m_view(m_store.dialect(),
-             DirectoryPace(kernel.settings.directory_bound,
+             DirectoryPace(kernel.settings.max_change_delay,
                            kernel.settings.directory_heartbeat),
              kernel.settings.vanish_grace, kernel.settings.node, kernel.settings.hall,
              kernel.settings.directory_writes, monotonic_us())
@@ -302,7 +302,7 @@
 void
 DirectoryWatch::note_unread(const UnreadRecord& record)
 {
-    m_kernel.unread_records.fetch_add(1, std::memory_order_relaxed);
+    m_kernel.invalid_records.fetch_add(1, std::memory_order_relaxed);
     if (m_unread_logged.size() >= kMaxUnreadLogged)
         m_unread_logged.clear();
     if (!m_unread_logged.emplace(record.topic, record.key, record.why).second)
--- a/src/libserve/entry/front_door.cpp
+++ b/src/libserve/entry/front_door.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// From a caller's HTTP request to the scheduler, and back.
+/// Path of a caller's HTTP request to the scheduler and of its answer back.
 
 #include "libserve/entry/worker.h"
 
@@ -27,13 +27,13 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::string_view kPipelines = "/v1/pipelines/";
+constexpr std::string_view kPipelinesPrefix = "/v1/pipelines/";
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::size_t kMaxKeyChars = 128;
-/// Tokens that wait for a slow caller go out in one piece, up to this many.
+/// Tokens that queue up for a slow caller are sent in one write, at most this many.
 constexpr std::size_t kMaxTokensPerWrite = 64;
 
-/// Time left for a request: the caller's header, within the pipeline's bound.
+/// Time budget of a request: the caller's header, limited by the pipeline's deadline.
 Result<Micros>
 read_budget(const HttpRequest& request, const PipelineSpec& pipeline)
 {
@@ -79,8 +79,8 @@
         co_await serve_readiness(m_kernel, exchange);
     } else if (path == "/metrics") {
         co_await serve_metrics(m_kernel, exchange);
-    } else if (path.starts_with(kPipelines) && request.method == "POST") {
-        co_await serve_pipeline(exchange, path.substr(kPipelines.size()));
+    } else if (path.starts_with(kPipelinesPrefix) && request.method == "POST") {
+        co_await serve_pipeline(exchange, path.substr(kPipelinesPrefix.size()));
     } else {
         co_await exchange.respond(problem_response(problem_of(ErrorKind::NotFound)));
     }
@@ -89,16 +89,16 @@
 asio::awaitable<void>
 Worker::serve_pipeline(HttpExchange& exchange, std::string name)
 {
-    auto made = make_context(exchange.request(), name);
-    if (!made) {
-        ++m_metrics.requests[{"-", std::string(error_row(made.error().kind).name)}];
+    auto created = make_context(exchange.request(), name);
+    if (!created) {
+        ++m_metrics.requests[{"-", std::string(error_row(created.error().kind).name)}];
         co_await exchange.respond(
-            problem_response(problem_of(made.error().kind, made.error().detail)));
+            problem_response(problem_of(created.error().kind, created.error().detail)));
         co_return;
     }
-    const ContextPtr context = *made;
+    const ContextPtr context = *created;
     const bool streams = context->resolved().spec.stream;
-    if (context->skip > 0 && co_await resume_at_engine(exchange, context))
+    if (context->tokens_to_skip > 0 && co_await resume_at_engine(exchange, context))
         co_return;
     m_contexts.emplace(context->spec.id, context);
     feed(RequestArrived {context->spec});
@@ -183,8 +183,8 @@
     const WallMs expires = session.expires;
     session = *std::move(opened);
     session.expires = expires;
-    context.skip = session.delivered;
-    context.skip_hash = session.text_hash;
+    context.tokens_to_skip = session.delivered;
+    context.skipped_text_hash = session.text_hash;
     context.delivered = session.delivered;
     return {};
 }
@@ -213,8 +213,8 @@
     co_await exchange.respond(std::move(response));
 }
 
-/// A refusal says "not run" of its own attempt.  If the log shows that the key
-/// was claimed by an earlier one, that would mislead, so it is weakened.
+/// A refusal reports "not run" for its own attempt only.  If the log shows that an earlier
+/// attempt claimed the key, that would mislead, so the report becomes "unknown".
 asio::awaitable<Problem>
 Worker::settle_problem(ContextPtr context)
 {
@@ -234,15 +234,16 @@
 asio::awaitable<void>
 Worker::answer_stream(HttpExchange& exchange, ContextPtr context)
 {
-    bool begun = false;
+    bool stream_started = false;
     while (!context->reply || context->tokens.size() > context->delivered) {
         if (context->tokens.size() <= context->delivered) {
             co_await context->changed.async_wait(kToTuple);
             continue;
         }
-        begun = begun || co_await exchange.begin_stream("text/event-stream");
-        if (!begun || !co_await write_tokens(exchange, *context)) {
-            context->caller_gone = true;
+        stream_started
+            = stream_started || co_await exchange.begin_stream("text/event-stream");
+        if (!stream_started || !co_await write_tokens(exchange, *context)) {
+            context->caller_disconnected = true;
             feed(CallerClosed {context->spec.id});
             finish_metrics(*context, "caller_gone");
             exchange.drop();
@@ -252,38 +253,38 @@
     if (context->reply->error) {
         const Problem problem = co_await settle_problem(context);
         finish_metrics(*context, error_row(problem.kind).name);
-        if (!begun) {
+        if (!stream_started) {
             co_await exchange.respond(problem_response(problem));
             co_return;
         }
         co_await exchange.write("event: error\ndata: " + problem_body(problem) + "\n\n");
     } else {
         finish_metrics(*context, "ok");
-        if (!begun)
+        if (!stream_started)
             co_await exchange.begin_stream("text/event-stream");
         co_await exchange.write("event: end\ndata: {}\n\n");
     }
     co_await exchange.end();
 }
 
-/// Sends the tokens that the caller does not have yet, each with the token that
-/// resumes the stream behind it; false if the stream can't go on here.
+/// Sends the tokens that the caller does not have yet, each with a resume token for the
+/// stream behind it; returns false if the stream can't continue on this connection.
 asio::awaitable<bool>
 Worker::write_tokens(HttpExchange& exchange, RequestContext& context)
 {
     SessionState& session = context.session;
-    if (session.delivered < context.skip || context.skip_hash != 0) {
-        // A text that was made anew must begin as the caller has it.
+    if (session.delivered < context.tokens_to_skip || context.skipped_text_hash != 0) {
+        // A regenerated text must start with the text that the caller already has.
         std::uint64_t hash = 0;
-        for (std::size_t i = 0; i < context.skip; ++i)
+        for (std::size_t i = 0; i < context.tokens_to_skip; ++i)
             hash = extend_text_hash(hash, context.tokens[i]);
-        if (hash != context.skip_hash) {
+        if (hash != context.skipped_text_hash) {
             const Problem problem = problem_of(ErrorKind::SessionLost);
             co_await exchange.write("event: error\ndata: " + problem_body(problem)
                                     + "\n\n");
             co_return false;
         }
-        context.skip_hash = 0;
+        context.skipped_text_hash = 0;
     }
     std::string text;
     const std::size_t end
@@ -299,69 +300,70 @@
     co_return co_await exchange.write(text);
 }
 
-/// Carries on a stream at the engine that runs it.  False if that engine does
-/// not have it any more; then nothing was sent to the caller, or only what it
-/// can be continued from.
+/// Continues a stream at the engine that runs it.  Returns false if that engine no longer
+/// has the stream; then the caller was sent nothing, or only text from which the stream
+/// can be continued.
 asio::awaitable<bool>
 Worker::resume_at_engine(HttpExchange& exchange, ContextPtr context)
 {
     const auto kind = m_kernel.kinds.find("engine");
     if (kind == m_kernel.kinds.end())
         co_return false;
-    context->tokens.resize(context->skip);
-    const std::uint64_t known_hash = std::exchange(context->skip_hash, 0);
+    context->tokens.resize(context->tokens_to_skip);
+    const std::uint64_t known_hash = std::exchange(context->skipped_text_hash, 0);
     const auto decoder = kind->second->stream_decoder();
     auto handle = std::make_shared<CallHandle>();
     std::optional<CallResult> result;
-    bool sound = true;
+    bool valid = true;
     CallOptions options;
     options.handle = handle;
     options.deadline_us = context->spec.deadline;
     options.on_chunk = [&](std::string_view piece) {
-        sound = sound && take_tokens(*context, decoder->feed(piece));
+        valid = valid && take_tokens(*context, decoder->feed(piece));
     };
     asio::co_spawn(m_io,
                    m_client.call(context->session.engine,
                                  kind->second->resume(format_stamp(context->session.stream),
-                                                      context->skip),
+                                                      context->tokens_to_skip),
                                  options),
                    [&](const std::exception_ptr&, CallResult ended) {
                        result = std::move(ended);
                        context->changed.cancel();
                    });
-    bool begun = false;
+    bool stream_started = false;
     bool open = true;
     while (!result || (open && context->tokens.size() > context->delivered)) {
         if (!open || context->tokens.size() <= context->delivered) {
             co_await context->changed.async_wait(kToTuple);
             continue;
         }
-        begun = begun || co_await exchange.begin_stream("text/event-stream");
-        open = begun && co_await write_tokens(exchange, *context);
+        stream_started
+            = stream_started || co_await exchange.begin_stream("text/event-stream");
+        open = stream_started && co_await write_tokens(exchange, *context);
         if (!open)
             handle->cancel();
     }
-    const bool whole = sound && result->status == CallStatus::Answered
+    const bool complete = valid && result->status == CallStatus::Answered
         && result->response.status == 200 && decoder->finished();
     LogEvent("resume")
         .kv("engine", context->session.engine)
-        .kv("from", context->skip)
-        .kv("whole", whole);
+        .kv("from", context->tokens_to_skip)
+        .kv("whole", complete);
     if (!open) {
         finish_metrics(*context, "caller_gone");
         exchange.drop();
         co_return true;
     }
-    if (whole) {
+    if (complete) {
         finish_metrics(*context, "ok");
-        if (!begun)
+        if (!stream_started)
             co_await exchange.begin_stream("text/event-stream");
         co_await exchange.write("event: end\ndata: {}\n\n");
         co_await exchange.end();
         co_return true;
     }
-    if (begun) {
-        // The caller has a newer resume token by now and comes back with it.
+    if (stream_started) {
+        // The caller has a newer resume token by now and can resume with it.
         finish_metrics(*context, "interrupted");
         const Problem problem = problem_of(ErrorKind::UpstreamFailed);
         co_await exchange.write("event: error\ndata: " + problem_body(problem) + "\n\n");
@@ -369,7 +371,7 @@
         co_return true;
     }
     context->tokens.clear();
-    context->skip_hash = known_hash;
+    context->skipped_text_hash = known_hash;
     co_return false;
 }
 
@@ -391,7 +393,7 @@
         .kv("version", context.spec.snapshot->bundle->version)
         .kv("expected_us", context.reply ? context.reply->expected : 0)
         .kv("retry_after_us", context.reply ? context.reply->retry_after : 0)
-        .kv("first_us", context.relay ? context.relay->first_sent : 0)
+        .kv("first_us", context.relay ? context.relay->time_to_first_event : 0)
         .kv("aim_us", context.resolved().spec.target_latency)
         .kv("us", took);
 }
--- a/src/libserve/entry/problem.cpp
+++ b/src/libserve/entry/problem.cpp
@@ -11,18 +11,18 @@
 
 namespace {
 
-/// Where nothing is known of when a retry may succeed.
-constexpr Micros kComeBack = kSecond;
-/// What ends upstreams will do so again; only another request's whole answer, an operator
-/// or a new version of the service changes that.
-constexpr Micros kComeBackFromQuarantine = 60 * kSecond;
+/// Retry delay when nothing is known of when a retry may succeed.
+constexpr Micros kDefaultRetryAfter = kSecond;
+/// A request that ends upstreams will do so again until another request is answered
+/// completely, an operator acts or a new version of the service is deployed.
+constexpr Micros kQuarantineRetryAfter = 60 * kSecond;
 
 Micros
-time_to_come_back(const ErrorRow& row)
+default_retry_after(const ErrorRow& row)
 {
     if (row.retry == RetryAdvice::No)
         return 0;
-    return row.kind == ErrorKind::Quarantined ? kComeBackFromQuarantine : kComeBack;
+    return row.kind == ErrorKind::Quarantined ? kQuarantineRetryAfter : kDefaultRetryAfter;
 }
 
 } // namespace
@@ -31,7 +31,7 @@
 problem_of(ErrorKind kind, std::string detail)
 {
     const ErrorRow& row = error_row(kind);
-    return {kind, row.ran, time_to_come_back(row), std::move(detail)};
+    return {kind, row.ran, default_retry_after(row), std::move(detail)};
 }
 
 std::string
@@ -59,7 +59,7 @@
     response.content_type = "application/problem+json";
     response.body = problem_body(problem);
     if (problem.retry_after > 0) {
-        // Retry-After counts whole seconds (RFC 9110); the body is finer.
+        // Retry-After is in whole seconds (RFC 9110); the body has milliseconds.
         const Micros seconds = (problem.retry_after + kSecond - 1) / kSecond;
         response.headers.add("Retry-After", std::to_string(seconds));
     }
--- a/src/libserve/entry/problem.h
+++ b/src/libserve/entry/problem.h
@@ -9,7 +9,7 @@
 
 namespace cypressford {
 
-/// What an error answer says.
+/// Content of an error answer.
 struct Problem {
     ErrorKind kind = ErrorKind::Internal;
     Ran ran = Ran::Unknown;
@@ -17,13 +17,13 @@
     std::string detail;
 };
 
-/// A problem whose kind alone says it all.
+/// A problem with the defaults of its kind.
 Problem problem_of(ErrorKind kind, std::string detail = {});
 
 /// The body of an error answer (RFC 9457).
 std::string problem_body(const Problem& problem);
 
-/// The error answer itself.
+/// The complete error answer.
 HttpResponse problem_response(const Problem& problem);
 
 } // namespace cypressford
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -24,12 +24,12 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Between looks at timers and queues, with and without requests in hand.
+/// Interval between checks of timers and queues, with and without requests in progress.
 constexpr std::chrono::milliseconds kBusyTick {2};
 constexpr std::chrono::milliseconds kIdleTick {50};
-/// Ten ticks of an idle thread.
-constexpr Micros kStandstill = 500 * kMillisecond;
-/// Request ids of one worker start at its index, this far up.
+/// A gap that counts as a suspension: ten ticks of an idle thread.
+constexpr Micros kMinSuspension = 500 * kMillisecond;
+/// Request ids of a worker start at its index shifted left by this many bits.
 constexpr int kIndexShift = 48;
 
 Scheduler::RandomBits
@@ -92,26 +92,26 @@
     for (;;) {
         m_tick.expires_after(m_scheduler.live() > 0 ? kBusyTick : kIdleTick);
         co_await m_tick.async_wait(kToTuple);
-        note_progress();
+        detect_suspension();
         m_scheduler.set_daemons_in_hall(m_kernel.daemons_in_hall.load());
         m_scheduler.set_daemons(m_kernel.daemons.load());
         feed(Tick {});
     }
 }
 
-/// A thread that did nothing for so long was suspended or stopped with its node: what is
-/// known is as old as that, and more.
+/// A thread without progress for at least kMinSuspension was suspended or stopped with its
+/// node; its view of the directory is at least as old as the gap.
 void
-Worker::note_progress()
+Worker::detect_suspension()
 {
     const Micros now = monotonic_us();
     const Micros gap = now - std::exchange(m_progress_at, now);
-    if (gap < kStandstill)
+    if (gap < kMinSuspension)
         return;
     LogEvent("stood_still", LogLevel::Warn).kv("us", gap);
-    m_kernel.stood_still_at.store(now, std::memory_order_relaxed);
-    if (m_kernel.on_standstill)
-        m_kernel.on_standstill();
+    m_kernel.last_resumed_at.store(now, std::memory_order_relaxed);
+    if (m_kernel.on_suspension_detected)
+        m_kernel.on_suspension_detected();
 }
 
 void
@@ -153,7 +153,7 @@
         return;
     auto& calls = m_contexts.at(it->second)->calls;
     auto call = calls.find(action.attempt);
-    // Posted, since the call may be what is running now.
+    // Posted, since the call may be the code that is running now.
     if (call != calls.end())
         asio::post(m_io, [handle = call->second] { handle->cancel(); });
 }
@@ -162,21 +162,21 @@
 Worker::act(const BeginClaim& action)
 {
     const ContextPtr context = m_contexts.at(action.request);
-    ClaimWanted wanted;
-    wanted.request = action.request;
-    wanted.key = context->account + "/" + context->key;
-    wanted.fingerprint = fast_hash(context->pipeline + "\n" + context->body);
-    wanted.key_time = context->key_time;
-    wanted.deadline = action.deadline;
-    m_kernel.claims->want(std::move(wanted), [this](DecideClaim decision) {
+    ClaimWanted claim;
+    claim.request = action.request;
+    claim.key = context->account + "/" + context->key;
+    claim.fingerprint = fast_hash(context->pipeline + "\n" + context->body);
+    claim.key_time = context->key_time;
+    claim.deadline = action.deadline;
+    m_kernel.claims->want(std::move(claim), [this](DecideClaim decision) {
         asio::post(m_io, [this, decision = std::move(decision)]() mutable {
-            claim_decided(std::move(decision));
+            on_claim_decided(std::move(decision));
         });
     });
 }
 
 void
-Worker::claim_decided(DecideClaim decision)
+Worker::on_claim_decided(DecideClaim decision)
 {
     auto it = m_contexts.find(decision.request);
     if (it != m_contexts.end()) {
@@ -190,58 +190,58 @@
 Worker::act(const EndClaim& action)
 {
     const ContextPtr context = m_contexts.at(action.request);
-    ClaimOver over {action.request, action.outcome, std::nullopt};
+    ClaimOver ended {action.request, action.outcome, std::nullopt};
     if (action.outcome == ClaimOutcome::Done)
-        over.answer = RecordedAnswer {
+        ended.answer = RecordedAnswer {
             "application/json",
             boost::json::serialize(boost::json::object {{"output", context->input}})};
-    m_kernel.claims->over(std::move(over));
+    m_kernel.claims->over(std::move(ended));
 }
 
 void
 Worker::act(const BeginPreparation& action)
 {
     const ContextPtr context = m_contexts.at(action.request);
-    PiecesWanted wanted;
-    wanted.snapshot = context->spec.snapshot;
-    wanted.pipeline = context->spec.pipeline;
-    wanted.counts = context->spec.pieces;
-    wanted.attempt = context->relay->call.attempt;
-    wanted.piece_key = context->relay->call.piece_key;
-    wanted.priority = context->resolved().spec.priority;
-    wanted.deadline = action.deadline;
-    wanted.prompt_by = action.prompt_by;
-    wanted.near = action.near;
-    wanted.follows_prompt = action.follows_prompt;
-    wanted.again = action.again;
-    wanted.halls = context->spec.halls;
+    PiecesWanted request;
+    request.snapshot = context->spec.snapshot;
+    request.pipeline = context->spec.pipeline;
+    request.counts = context->spec.pieces;
+    request.attempt = context->relay->call.attempt;
+    request.piece_key = context->relay->call.piece_key;
+    request.priority = context->resolved().spec.priority;
+    request.deadline = action.deadline;
+    request.prompt_by = action.prompt_by;
+    request.near = action.near;
+    request.follows_prompt = action.follows_prompt;
+    request.again = action.again;
+    request.halls = context->spec.halls;
     if (context->spec.asks_leader) {
         const CallerCall& call = context->relay->call;
-        wanted.reader_set = context->set_name();
-        wanted.prompt.attempt = call.attempt;
-        wanted.prompt.parts = call.prefix;
-        wanted.prompt.tokens = call.tokens_in;
-        wanted.prompt.affinity = context->spec.affinity;
+        request.reader_set = context->set_name();
+        request.prompt.attempt = call.attempt;
+        request.prompt.parts = call.prefix;
+        request.prompt.tokens = call.tokens_in;
+        request.prompt.affinity = context->spec.affinity;
     }
     m_kernel.pieces->want(
-        action.request, std::move(wanted), [this, id = action.request](PiecesMade made) {
-            asio::post(m_io, [this, id, made = std::move(made)]() mutable {
-                pieces_made(id, std::move(made));
+        action.request, std::move(request), [this, id = action.request](PiecesMade result) {
+            asio::post(m_io, [this, id, result = std::move(result)]() mutable {
+                on_pieces_result(id, std::move(result));
             });
         });
 }
 
 void
-Worker::pieces_made(RequestId request, PiecesMade made)
+Worker::on_pieces_result(RequestId request, PiecesMade result)
 {
     const auto it = m_contexts.find(request);
     if (it == m_contexts.end() || it->second->reply) {
-        m_kernel.pieces->free_results(std::move(made.inputs));
+        m_kernel.pieces->free_results(std::move(result.inputs));
         return;
     }
-    it->second->relay->inputs = std::move(made.inputs);
-    feed(PreparationEnded {request, made.made, std::move(made.hall),
-                           std::move(made.identity), made.is_counted});
+    it->second->relay->inputs = std::move(result.inputs);
+    feed(PreparationEnded {request, result.made, std::move(result.hall),
+                           std::move(result.identity), result.is_counted});
 }
 
 void
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// One thread of a daemon: it takes requests in, feeds the scheduler with
+/// One worker thread of a daemon: it accepts requests, feeds the scheduler with
 /// events and carries out its actions.
 
 #pragma once
@@ -31,21 +31,22 @@
 
 namespace cypressford {
 
-/// What a relayed request carries besides.
+/// Additional state of a relayed request.
 struct Relay {
     HttpRequest request; ///< as the caller sent it
     CallerCall call;
     std::vector<PieceHandle> inputs; ///< results of its pieces
-    std::optional<HttpResponse> answer; ///< whole, and to be passed on
-    std::optional<HttpResponse> failure; ///< passed on if nothing better comes
+    std::optional<HttpResponse> answer; ///< complete, to be passed on
+    std::optional<HttpResponse> failure; ///< passed on unless a later attempt succeeds
     std::optional<HttpResponse> head; ///< of the stream, from its first upstream
     EventSplitter events;
-    Micros first_byte = 0; ///< of the last attempt, from its sending
-    Micros first_sent = 0; ///< from the request's arrival to its first event; 0: none
-    std::string unsent; ///< whole events that the caller does not have yet
+    Micros first_byte = 0; ///< of the last attempt, since it was sent
+    /// From the request's arrival to its first event; 0: none.
+    Micros time_to_first_event = 0;
+    std::string unsent; ///< complete events not yet sent to the caller
 };
 
-/// A request while a worker has it: its data, which the scheduler never sees.
+/// Data of a request that a worker processes; the scheduler does not see it.
 struct RequestContext {
     explicit RequestContext(boost::asio::io_context& io)
         : changed(io, BootTimer::time_point::max())
@@ -59,33 +60,34 @@
     std::string body;
     std::string key; ///< Idempotency-Key as the caller gave it
     WallMs key_time = 0;
-    std::string input; ///< of the present stage; the output once it is done
+    std::string input; ///< of the current stage; the final output once all are done
     std::int64_t fence = 0;
 
-    SessionState session; ///< where the stream stands, for resume tokens
+    SessionState session; ///< position in the stream, for resume tokens
     std::vector<std::string> tokens; ///< of the generated text
     std::size_t delivered = 0; ///< tokens that the caller has
-    std::size_t skip = 0; ///< tokens that it had before it came to us
-    std::uint64_t skip_hash = 0; ///< their hash, to check a text made anew
-    bool caller_gone = false;
+    std::size_t tokens_to_skip = 0; ///< tokens that the caller had before this request
+    /// Hash of the skipped tokens, to check a regenerated text against.
+    std::uint64_t skipped_text_hash = 0;
+    bool caller_disconnected = false;
 
     std::unique_ptr<Relay> relay; ///< for relayed pipelines only
 
     std::optional<Reply> reply;
     std::optional<RecordedAnswer> recorded;
     std::unordered_map<AttemptId, std::shared_ptr<CallHandle>> calls;
-    BootTimer changed; ///< cancelled when there is news
+    BootTimer changed; ///< cancelled when tokens or the reply arrive
 
     const ResolvedPipeline& resolved() const
     {
         return spec.snapshot->bundle->pipelines[spec.pipeline];
     }
-    /// What the log calls it: the caller's id, if it has one.
+    /// Id for the log: the caller's, if the caller gave one.
     std::string log_id() const
     {
         return relay ? relay->call.attempt : std::to_string(spec.id);
     }
-    /// Name of the upstream set of its first stage.
+    /// Name of the upstream set of the pipeline's first stage.
     const std::string& set_name() const
     {
         return spec.snapshot->sets[resolved().sets.front()].spec.name;
@@ -115,9 +117,9 @@
     void close_after_answers() { m_server.close_after_answers(); }
     void stop_accepting() { m_server.stop_accepting(); }
     void close_idle() { m_server.close_idle(); }
-    /// The process ends in a moment: requests that run nowhere are answered.
-    void answer_waiting() { feed(StopEnds {}); }
-    /// Takes over the bounds that the configuration sets on callers.
+    /// Answers requests that run on no upstream; the process is about to end.
+    void answer_waiting_requests() { feed(StopEnds {}); }
+    /// Applies the limits that the configuration sets on callers.
     void apply_limits();
     bool is_idle() const { return m_server.connections() == 0 && m_scheduler.live() == 0; }
     MetricsSnapshot metrics() const;
@@ -143,7 +145,7 @@
     boost::asio::awaitable<void> serve_relayed(HttpExchange& exchange);
     Result<ContextPtr> make_relay(const HttpRequest& request);
     boost::asio::awaitable<void> answer_relayed(HttpExchange& exchange, ContextPtr context);
-    /// `arrived`: of the request.
+    /// `arrived` is the time of the request's arrival.
     boost::asio::awaitable<bool> write_events(HttpExchange& exchange, Relay& relay,
                                               Micros arrived, bool& begun);
     HttpResponse relayed_problem(const RequestContext& context) const;
@@ -159,18 +161,18 @@
     ForwardedCall forwarded_call(const SendAttempt& send,
                                  const RequestContext& context) const;
 
-    // suspicion.cpp: relayed requests under which upstreams end.
-    /// An error for a request that no upstream gets any more.
+    // suspicion.cpp: relayed requests suspected of ending upstreams.
+    /// Returns an error for a request that is quarantined, so that no upstream receives it.
     Result<void> check_suspicion(const HttpRequest& request, const CallerCall& call,
                                  const std::string& account);
-    /// A relayed request was answered whole.
+    /// Records that a relayed request was answered completely.
     void note_answered(const RequestContext& context);
-    /// Seeded by this worker.
+    /// Hash of a request, seeded with this worker's random seed.
     std::uint64_t hash_of(const HttpRequest& request, const CallerCall& call,
                           const std::string& account) const;
-    /// A call ended without its whole answer.
-    void note_lost(const SendAttempt& send, const RequestContext& context,
-                   bool closed_there) const;
+    /// Records that a call ended without its complete answer.
+    void record_broken_run(const SendAttempt& send, const RequestContext& context,
+                           bool closed_there) const;
 
     // worker.cpp: events and actions.
     void feed(const Event& event);
@@ -183,12 +185,12 @@
     void act(const BeginPreparation& action);
     void act(const ReleaseInputs& action);
     void act(const CancelPreparation& action);
-    void pieces_made(RequestId request, PiecesMade made);
+    void on_pieces_result(RequestId request, PiecesMade result);
     void act(const Reply& action);
     void act(const Forget& action);
-    void claim_decided(DecideClaim decision);
+    void on_claim_decided(DecideClaim decision);
     boost::asio::awaitable<void> tick_loop();
-    void note_progress();
+    void detect_suspension();
 
     // attempt.cpp: calls to upstreams.
     boost::asio::awaitable<void> run_attempt(SendAttempt send, ContextPtr context,
@@ -220,7 +222,7 @@
     AnsweredRequests m_answered;
     const std::uint64_t m_hash_seed;
     BootTimer m_tick;
-    Micros m_progress_at; ///< when this thread last did anything
+    Micros m_progress_at; ///< when this thread last made progress
 };
 
 } // namespace cypressford
--- a/src/libserve/json_call.h
+++ b/src/libserve/json_call.h
@@ -2,8 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Calls with one JSON body and one JSON answer, which several kinds of
-/// upstream have in common.
+/// Calls with one JSON body and one JSON answer, shared by several kinds of upstream.
 
 #pragma once
 
@@ -11,10 +10,11 @@
 
 namespace cypressford {
 
-/// POST of input, priority and budget, with key and fencing token as headers.
+/// A POST with input, priority and budget in the body, and key and fencing token as
+/// headers.
 HttpRequest encode_json_call(const StageCall& call, std::string target);
 
-/// The member "output" of the answer.
+/// The answer's member "output"; UpstreamFailed if it is missing or empty.
 Result<std::string> decode_json_answer(const HttpResponse& response);
 
 } // namespace cypressford
--- a/src/libserve/kernel.cpp
+++ b/src/libserve/kernel.cpp
@@ -11,8 +11,7 @@
 
 namespace {
 
-/// A daemon that was suspended or stopped has read again what changed meanwhile in 10 to 50
-/// ms.
+/// After a suspension a daemon needs 10 to 50 ms to read the changes that it missed.
 constexpr Micros kCatchUpLimit = 300 * kMillisecond;
 
 std::map<std::string, std::unique_ptr<UpstreamKind>>
@@ -30,12 +29,12 @@
 bool
 Kernel::is_catching_up(Micros now) const
 {
-    const Micros woke_at = stood_still_at.load(std::memory_order_relaxed);
-    if (now - woke_at > kCatchUpLimit || !settings.uses_directory)
+    const Micros resumed_at = last_resumed_at.load(std::memory_order_relaxed);
+    if (now - resumed_at > kCatchUpLimit || !settings.uses_directory)
         return false;
     const Micros known_at = directory_known_at.load(std::memory_order_relaxed);
-    // What is younger than the bound for changes is as fresh as without a standstill.
-    return known_at < woke_at - settings.directory_bound;
+    // State younger than the bound for changes is as fresh as without a suspension.
+    return known_at < resumed_at - settings.max_change_delay;
 }
 
 Kernel::Kernel(Settings settings_)
--- a/src/libserve/kernel.h
+++ b/src/libserve/kernel.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What all threads of a daemon share.
+/// State shared by all threads of a daemon.
 
 #pragma once
 
@@ -30,38 +30,41 @@
 class PieceService;
 class Worker;
 
-/// Plug-ins, snapshot and flags.  The plug-ins are made once and never change.
+/// Plug-ins, snapshot and flags.  The plug-ins are created once and never change.
 struct Kernel {
     explicit Kernel(Settings settings_);
 
-    const Settings settings; ///< as of the start
-    /// Settings as last reloaded: bounds on callers, times of a stop and the address
-    /// of a directory are taken from here, the rest needs a restart.
+    const Settings settings; ///< as of the start of the process
+    /// Settings as last reloaded.  Limits on callers, the timing of a planned stop and the
+    /// address of a directory are taken from here; other settings need a restart.
     RcuCell<Settings> reloaded;
     const std::unique_ptr<Router> router;
     const std::unique_ptr<Admission> admission;
     const std::map<std::string, std::unique_ptr<UpstreamKind>> kinds;
     const std::unique_ptr<CallDialect> calls; ///< null: no relayed pipelines
     const SessionTokens tokens;
-    const std::uint64_t incarnation; ///< drawn at random for this process
+    const std::uint64_t incarnation; ///< random, drawn once for this process
 
     UpstreamTable upstreams;
     RcuCell<Snapshot> snapshot;
-    RcuCell<SuspectView> suspects; ///< null until the first is known
+    RcuCell<SuspectView> suspects; ///< null until the first view is known
     std::atomic<bool> stopping {false};
     std::atomic<int> daemons_in_hall {1};
-    std::atomic<int> daemons {1}; ///< live ones of all halls, as far as known
+    std::atomic<int> daemons {1}; ///< live daemons of all halls, as far as known
     std::atomic<std::uint64_t> directory_calls {0}; ///< to the platform, since the start
     std::atomic<int> evacuated_halls {0};
-    std::atomic<std::uint64_t> unread_records {0}; ///< of the directory, since the start
-    /// When a thread that takes requests last found that it had stood still.
-    std::atomic<Micros> stood_still_at {-3600 * kSecond}; ///< long ago
-    /// Configuration and upstreams of the directory are known as of then, at least.
+    std::atomic<std::uint64_t> invalid_records {0}; ///< in the directory, since the start
+    /// When a worker thread last detected that it had been suspended; the initial value
+    /// lies far in the past.
+    std::atomic<Micros> last_resumed_at {-3600 * kSecond};
+    /// Configuration and upstreams of the directory are known at least up to this time.
     std::atomic<Micros> directory_known_at {0};
-    std::function<void()> on_standstill; ///< may be called from any thread; may be empty
-    /// The daemon at that address did not answer this one.  The same.
-    std::function<void(std::string)> on_peer_lost;
-    std::atomic<bool> holds_placement {false}; ///< orders models for the hall
+    /// May be called from any thread; may be empty.
+    std::function<void()> on_suspension_detected;
+    /// Called with the address of a daemon that did not answer.  May be called from any
+    /// thread; may be empty.
+    std::function<void(std::string)> on_peer_unreachable;
+    std::atomic<bool> holds_placement {false}; ///< this daemon places models for the hall
     std::atomic<bool> log_out {false}; ///< the log takes no appends at present
 
     ClaimService* claims = nullptr;
@@ -69,8 +72,8 @@
     EndWatch* ends = nullptr; ///< null: no relayed pipelines
     std::vector<Worker*> workers;
 
-    /// True right after a standstill, until what was read before it was read again, if that
-    /// takes no longer than kCatchUpLimit: without the directory a daemon goes on.
+    /// True after a suspension until the directory has been read again, but no longer than
+    /// kCatchUpLimit: a daemon keeps serving when the directory is unavailable.
     bool is_catching_up(Micros now) const;
 
     bool is_ready() const { return !stopping.load() && snapshot.load() != nullptr; }
--- a/src/libserve/operator/metrics.cpp
+++ b/src/libserve/operator/metrics.cpp
@@ -15,19 +15,19 @@
 
 namespace {
 
-// Buckets from 1 ms to 60 s, each about half as wide again as the one before.
-constexpr unsigned kBins = 27;
-constexpr double kLowest = 0.001;
-constexpr double kHighest = 60;
+// Buckets from 1 ms to 60 s, each about 1.5 times as wide as the one before.
+constexpr unsigned kBucketCount = 27;
+constexpr double kLowestSeconds = 0.001;
+constexpr double kHighestSeconds = 60;
 
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
 using Histogram = bh::histogram<std::tuple<LogAxis>, bh::dense_storage<std::uint64_t>>;
 
 Histogram
-make()
+make_duration_histogram()
 {
     return bh::make_histogram_with(bh::dense_storage<std::uint64_t>(),
-                                   LogAxis(kBins, kLowest, kHighest));
+                                   LogAxis(kBucketCount, kLowestSeconds, kHighestSeconds));
 }
 
 using prometheus::ClientMetric;
@@ -86,7 +86,7 @@
 } // namespace
 
 struct TimeHistogram::Impl {
-    Histogram cells = make();
+    Histogram cells = make_duration_histogram();
     double sum = 0;
 };
 
--- a/src/libserve/operator/metrics.h
+++ b/src/libserve/operator/metrics.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one worker counts.  Each worker writes its own without a lock; a scrape
-/// collects copies by message.
+/// Metrics counted by one worker.  Each worker writes its own without a lock; a scrape
+/// collects copies by posting to the workers' threads.
 
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace cypressford {
 
-/// Times as a histogram (Boost.Histogram behind it).
+/// A histogram of durations (Boost.Histogram behind it).
 class TimeHistogram {
 public:
     TimeHistogram();
@@ -27,7 +27,7 @@
     void record(Micros time);
     void merge(const TimeHistogram& other);
 
-    /// One bucket, cumulative as Prometheus wants it.
+    /// One bucket; its count is cumulative, as Prometheus requires.
     struct Bucket {
         double upper_s = 0;
         std::uint64_t count = 0;
@@ -41,11 +41,11 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// Counters of one worker, or of several merged.
+/// Counters of one worker, or merged from several.
 struct MetricsSnapshot {
     std::map<std::pair<std::string, std::string>, std::uint64_t>
         requests; ///< pipeline, outcome
-    std::map<std::string, TimeHistogram> request_time; ///< by pipeline, answered ones
+    std::map<std::string, TimeHistogram> request_time; ///< by pipeline, answered requests
     std::map<std::string, TimeHistogram> attempt_time; ///< by upstream set
     SchedulerStats scheduler;
     std::uint64_t connections = 0;
@@ -54,7 +54,7 @@
     void merge(const MetricsSnapshot& other);
 };
 
-/// A figure that has no history.
+/// A value as of the time of the scrape.
 struct Gauge {
     std::string name;
     std::string help;
--- a/src/libserve/operator/operator_pages.cpp
+++ b/src/libserve/operator/operator_pages.cpp
@@ -56,7 +56,7 @@
         {"cypressford_directory_calls", "Calls to the platform's directory.",
          static_cast<double>(kernel.directory_calls.load())},
         {"cypressford_unread_records", "Records of the directory that can't be read.",
-         static_cast<double>(kernel.unread_records.load())},
+         static_cast<double>(kernel.invalid_records.load())},
         {"cypressford_evacuated_halls", "Halls whose upstreams get nothing new.",
          static_cast<double>(kernel.evacuated_halls.load())},
         {"cypressford_quarantined_requests", "Requests that no upstream gets any more.",
--- a/src/libserve/operator/operator_pages.h
+++ b/src/libserve/operator/operator_pages.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Pages that balancers and operators ask a daemon for.
+/// HTTP pages of a daemon for load balancers and operators.
 
 #pragma once
 
@@ -13,13 +13,13 @@
 
 namespace cypressford {
 
-/// An answer in plain text.
+/// A plain-text answer.
 HttpResponse text_response(int status, std::string text);
 
-/// 200 while this daemon takes requests, else 503.
+/// Answers 200 while this daemon takes requests, else 503.
 boost::asio::awaitable<void> serve_readiness(Kernel& kernel, HttpExchange& exchange);
 
-/// Counters and histograms of all workers, for Prometheus.
+/// Counters and histograms of all workers, in Prometheus text format.
 boost::asio::awaitable<void> serve_metrics(Kernel& kernel, HttpExchange& exchange);
 
 } // namespace cypressford
--- a/src/libserve/peers/peer_watch.cpp
+++ b/src/libserve/peers/peer_watch.cpp
@@ -75,8 +75,8 @@
         return;
     LogEvent("leader_suspected", LogLevel::Warn).kv("leader", address).kv("told", false);
     m_watched.insert(address);
-    if (m_kernel.on_peer_lost)
-        m_kernel.on_peer_lost(address);
+    if (m_kernel.on_peer_unreachable)
+        m_kernel.on_peer_unreachable(address);
     m_link.cancel_orders(address);
     asio::co_spawn(m_io, watch_suspect(address), asio::detached);
     check_leaders();
--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -68,15 +68,15 @@
 }
 
 LimitWords
-PieceJob::limit_words(Micros now) const
+PieceJob::limit_reports(Micros now) const
 {
-    return cypressford::limit_words(reader_set(), now);
+    return cypressford::limit_reports(reader_set(), now);
 }
 
 void
-PieceJob::take_words(const LimitWords& words, Micros now) const
+PieceJob::receive_limit_reports(const LimitWords& words, Micros now) const
 {
-    cypressford::take_words(reader_set(), words, now);
+    cypressford::receive_limit_reports(reader_set(), words, now);
 }
 
 PieceOrder
--- a/src/libserve/pieces/piece_job.h
+++ b/src/libserve/pieces/piece_job.h
@@ -87,9 +87,9 @@
     std::vector<std::string> unusable(Micros now) const;
 
     /// What this daemon has heard of limits that engines name.
-    LimitWords limit_words(Micros now) const;
+    LimitWords limit_reports(Micros now) const;
     /// Takes over what the leader has heard of them.
-    void take_words(const LimitWords& words, Micros now) const;
+    void receive_limit_reports(const LimitWords& words, Micros now) const;
 
     /// The order of a stage; its `due_left` is a point in time.
     PieceOrder order_for(std::size_t stage, std::string near) const;
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -263,7 +263,7 @@
     PlaceQuery query {job.wanted.reader_set, job.wanted.prompt};
     query.prompt.from = m_kernel.settings.hall;
     query.prompt.avoid = job.unusable(now);
-    query.prompt.limits = job.limit_words(now);
+    query.prompt.limits = job.limit_reports(now);
     query.prompt.halls = job.wanted.halls;
     if (job.wanted.follows_prompt)
         query.prompt.hall_parts
@@ -289,7 +289,7 @@
         co_return PlaceAnswer {};
     }
     m_peers.note_answer(leader);
-    job->take_words(answer->limits, monotonic_us());
+    job->receive_limit_reports(answer->limits, monotonic_us());
     co_return *std::move(answer);
 }
 
--- a/src/libserve/pieces/set_leader.cpp
+++ b/src/libserve/pieces/set_leader.cpp
@@ -111,9 +111,9 @@
                   .try_emplace(query.upstream_set, m_kernel.settings.scheduler.switches)
                   .first->second;
         const Micros now = monotonic_us();
-        take_words(set, query.prompt.limits, now);
+        receive_limit_reports(set, query.prompt.limits, now);
         PlaceAnswer answer;
-        answer.limits = later_words(set, query.prompt.limits, now);
+        answer.limits = newer_limit_reports(set, query.prompt.limits, now);
         const auto upstream = placer.place(set, query.prompt, now);
         if (!upstream)
             return answer;
--- a/src/libserve/relay/attempt.cpp
+++ b/src/libserve/relay/attempt.cpp
@@ -197,7 +197,7 @@
         = co_await m_client.call(send.upstream->address, kind.encode(call), options);
     if (result.status == CallStatus::Withheld)
         co_return AttemptStatus::Withheld;
-    if (handle->cancelled() && !context->caller_gone
+    if (handle->cancelled() && !context->caller_disconnected
         && result.status != CallStatus::NotSent)
         cancel_stream(send.upstream->address, kind, stream);
     if (result.status == CallStatus::NotSent)
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -124,7 +124,7 @@
 asio::awaitable<void>
 Worker::serve_relayed(HttpExchange& exchange)
 {
-    note_progress();
+    detect_suspension();
     while (m_kernel.is_catching_up(monotonic_us())) {
         BootTimer timer(m_io);
         timer.expires_after(kCatchUpStep);
@@ -156,7 +156,7 @@
     m_contexts.emplace(context->spec.id, context);
     exchange.watch([this, id = context->spec.id, weak = std::weak_ptr(context)] {
         if (const ContextPtr alive = weak.lock()) {
-            alive->caller_gone = true;
+            alive->caller_disconnected = true;
             feed(CallerClosed {id});
         }
     });
@@ -241,17 +241,17 @@
         if (relay.unsent.empty()) {
             co_await context->changed.async_wait(kToTuple);
         } else if (!co_await write_events(exchange, relay, context->arrived, begun)) {
-            context->caller_gone = true;
+            context->caller_disconnected = true;
             feed(CallerClosed {context->spec.id});
             break;
         }
     }
     const bool failed = !context->reply || context->reply->error;
     finish_metrics(*context,
-                   context->caller_gone ? "caller_gone"
-                       : failed         ? error_row(*context->reply->error).name
-                                        : "ok");
-    if (context->caller_gone || (failed && begun)) {
+                   context->caller_disconnected ? "caller_gone"
+                       : failed                 ? error_row(*context->reply->error).name
+                                                : "ok");
+    if (context->caller_disconnected || (failed && begun)) {
         // A stream that broke off must not look whole.
         exchange.drop();
     } else if (failed) {
@@ -272,8 +272,8 @@
         begun = co_await exchange.begin_stream(*relay.head);
     if (!begun)
         co_return false;
-    if (relay.first_sent == 0)
-        relay.first_sent = monotonic_us() - arrived;
+    if (relay.time_to_first_event == 0)
+        relay.time_to_first_event = monotonic_us() - arrived;
     const std::string text = std::exchange(relay.unsent, {});
     co_return co_await exchange.write(text);
 }
@@ -394,7 +394,7 @@
         return is_quarantined(call) ? AttemptStatus::Quarantined : AttemptStatus::Withheld;
     if (result.status == CallStatus::Lost) {
         if (!call.handle->cancelled())
-            note_lost(call.send, *call.context, result.closed_there);
+            record_broken_run(call.send, *call.context, result.closed_there);
         return AttemptStatus::Lost;
     }
     if (answer.input_gone)
--- a/src/libserve/relay/suspicion.cpp
+++ b/src/libserve/relay/suspicion.cpp
@@ -70,8 +70,8 @@
 }
 
 void
-Worker::note_lost(const SendAttempt& send, const RequestContext& context,
-                  bool closed_there) const
+Worker::record_broken_run(const SendAttempt& send, const RequestContext& context,
+                          bool closed_there) const
 {
     const Relay& relay = *context.relay;
     const RequestDigest digest = digest_of(relay.request, relay.call, context.account);
--- a/src/libserve/settings.cpp
+++ b/src/libserve/settings.cpp
@@ -17,9 +17,9 @@
 namespace {
 
 constexpr std::size_t kDaemonKeyBytes = 32;
-constexpr std::size_t kPublicKeyHex = 64;
+constexpr std::size_t kPublicKeyHexChars = 64;
 
-/// Reads a number and holds it to a range.
+/// Reads a number and checks that it lies within a range.
 template <class T>
 void
 read_range(YamlMapReader& reader, const char* key, T lowest, T highest, T& out)
@@ -34,7 +34,7 @@
         out = value;
 }
 
-/// A time that stands in milliseconds in the file.
+/// Reads a duration that the file gives in milliseconds.
 void
 read_ms(YamlMapReader& reader, const char* key, Micros& out)
 {
@@ -57,13 +57,14 @@
 {
     reader.read(key, out, required);
     if (!out.empty() && parse_address(out).ip.empty())
-        reader.add(reader.child(key), std::string(key) + ": '" + out + "' is no ip:port");
+        reader.add(reader.child(key),
+                   std::string(key) + ": '" + out + "' is not an ip:port");
 }
 
-/// Reads a sub-mapping if it is there.
+/// Reads a sub-mapping if it is present.
 template <class F>
 void
-section(YamlMapReader& parent, const char* key, std::vector<Fault>& faults, F&& visit)
+read_section(YamlMapReader& parent, const char* key, std::vector<Fault>& faults, F&& visit)
 {
     const YAML::Node node = parent.child(key);
     if (!node)
@@ -87,15 +88,15 @@
     reader.add(reader.child(key), std::string(key) + ": no '" + out + "' among:" + known);
 }
 
-/// A change of either kind must be in force within its bound; one pace serves both.
+/// Each kind of change has its bound; the same timing serves both, so the smaller counts.
 void
 read_directory_bounds(YamlMapReader& reader, Settings& settings)
 {
-    Micros configuration = settings.directory_bound;
-    Micros leaving = settings.directory_bound;
+    Micros configuration = settings.max_change_delay;
+    Micros leaving = settings.max_change_delay;
     read_ms(reader, "configuration_ms", configuration);
     read_ms(reader, "leaving_ms", leaving);
-    settings.directory_bound = std::min(configuration, leaving);
+    settings.max_change_delay = std::min(configuration, leaving);
     read_ms(reader, "heartbeat_ms", settings.directory_heartbeat);
     read_range(reader, "writes_per_s", 1.0, 1e6, settings.directory_writes);
 }
@@ -135,7 +136,7 @@
     read_duration(reader, "write_ms", limits.write_time);
 }
 
-/// Mechanisms that are switched off, to measure what they are worth.
+/// Reads the mechanisms to switch off, which allows measuring the effect of each.
 void
 read_switches(YamlMapReader& reader, PolicySwitches& switches)
 {
@@ -153,8 +154,8 @@
         }
         std::string fault = "without: no '";
         fault.append(name).append("' among:");
-        for (const std::string_view one : kMechanismNames)
-            fault.append(" ").append(one);
+        for (const std::string_view mechanism_name : kMechanismNames)
+            fault.append(" ").append(mechanism_name);
         reader.add(reader.child("without"), fault);
     }
 }
@@ -173,7 +174,7 @@
     read_range(reader, "max_attempts", 1, 10, options.max_attempts);
     read_range(reader, "retry_burst", 0.0, 1e6, options.retry_burst);
     read_range(reader, "hedge_burst", 0.0, 1e6, options.hedge_burst);
-    // Over all daemons, in place of the four above.
+    // Limits over all daemons; they replace the ratios and bursts above.
     read_range(reader, "retry_limit_ratio", 0.0, 1.0, options.retry_limit.ratio);
     read_range(reader, "retry_limit_extra", 0.0, 1e6, options.retry_limit.extra);
     read_ms(reader, "token_life_ms", settings.token_life);
@@ -232,13 +233,14 @@
 void
 read_keys(YamlMapReader& reader, Settings& settings)
 {
-    // A directory's store checks configurations itself, and sessions need no
-    // tokens of ours where answers are relayed.
+    // A directory's store checks configurations itself, and relayed answers need no resume
+    // tokens of this daemon.
     const bool required = !settings.uses_directory;
     reader.read("operators", settings.operators, required);
     for (const std::string& key : settings.operators)
-        if (key.size() != kPublicKeyHex || from_hex(key).empty())
-            reader.add(reader.child("operators"), "'" + key + "' is no public key in hex");
+        if (key.size() != kPublicKeyHexChars || from_hex(key).empty())
+            reader.add(reader.child("operators"),
+                       "'" + key + "' is not a public key in hex");
     std::string hex;
     reader.read("daemon_key", hex, required);
     settings.daemon_key = from_hex(hex);
@@ -264,7 +266,7 @@
         reader.add(reader.child("tls"), "tls needs certificate, private_key and authority");
     if (given == 0 && !settings.peers_address.empty() && !settings.uses_directory
         && !is_loopback(settings.peers_address))
-        reader.add(reader.child("listen"), "peers off loopback need tls");
+        reader.add(reader.child("listen"), "peers outside loopback need tls");
 }
 
 void
@@ -277,7 +279,7 @@
         reader.add(reader.child("regions"), "regions: '" + settings.hall + "' is missing");
     read_range(reader, "threads", 1, 64, settings.threads);
     read_range(reader, "capacity", 0.001, 1e6, settings.capacity);
-    section(reader, "listen", faults, [&](YamlMapReader& r) {
+    read_section(reader, "listen", faults, [&](YamlMapReader& r) {
         read_address(r, "callers", true, settings.callers_address);
         read_address(r, "peers", false, settings.peers_address);
         read_address(r, "feed", false, settings.feed_address);
@@ -291,25 +293,28 @@
     reader.read("peers", settings.peers);
     for (const std::string& peer : settings.peers)
         if (parse_address(peer).ip.empty())
-            reader.add(reader.child("peers"), "peers: '" + peer + "' is no ip:port");
-    section(reader, "platform", faults,
-            [&](YamlMapReader& r) { read_platform(r, settings); });
-    section(reader, "tls", faults, [&](YamlMapReader& r) {
+            reader.add(reader.child("peers"), "peers: '" + peer + "' is not an ip:port");
+    read_section(reader, "platform", faults,
+                 [&](YamlMapReader& r) { read_platform(r, settings); });
+    read_section(reader, "tls", faults, [&](YamlMapReader& r) {
         r.read("certificate", settings.tls.certificate);
         r.read("private_key", settings.tls.private_key);
         r.read("authority", settings.tls.authority);
     });
     read_keys(reader, settings);
-    section(reader, "limits", faults, [&](YamlMapReader& r) { read_limits(r, settings); });
-    section(reader, "policy", faults, [&](YamlMapReader& r) { read_policy(r, settings); });
-    section(reader, "claims", faults, [&](YamlMapReader& r) { read_claims(r, settings); });
-    section(reader, "hall_control", faults,
-            [&](YamlMapReader& r) { read_hall(r, settings); });
-    section(reader, "placement", faults,
-            [&](YamlMapReader& r) { read_placement(r, settings); });
-    section(reader, "log", faults, [&](YamlMapReader& r) { read_log(r, settings); });
-    section(reader, "stop", faults, [&](YamlMapReader& r) {
-        read_ms(r, "grace_ms", settings.stop_grace);
+    read_section(reader, "limits", faults,
+                 [&](YamlMapReader& r) { read_limits(r, settings); });
+    read_section(reader, "policy", faults,
+                 [&](YamlMapReader& r) { read_policy(r, settings); });
+    read_section(reader, "claims", faults,
+                 [&](YamlMapReader& r) { read_claims(r, settings); });
+    read_section(reader, "hall_control", faults,
+                 [&](YamlMapReader& r) { read_hall(r, settings); });
+    read_section(reader, "placement", faults,
+                 [&](YamlMapReader& r) { read_placement(r, settings); });
+    read_section(reader, "log", faults, [&](YamlMapReader& r) { read_log(r, settings); });
+    read_section(reader, "stop", faults, [&](YamlMapReader& r) {
+        read_ms(r, "grace_ms", settings.stop_grace_period);
         read_ms(r, "limit_ms", settings.stop_limit);
     });
     check_tls(reader, settings);
--- a/src/libserve/settings.h
+++ b/src/libserve/settings.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Settings of a daemon: one YAML file, checked whole before anything starts.
+/// Settings of a daemon: one YAML file, checked completely before anything starts.
 
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace cypressford {
 
-/// Keys for TLS between daemons; all empty for plain text on loopback.
+/// Files for TLS between daemons; all empty for plain text on loopback.
 struct TlsSettings {
     std::string certificate; ///< file, PEM
     std::string private_key; ///< file, PEM
@@ -33,50 +33,53 @@
     std::map<std::string, std::string> hall_regions; ///< region of each hall; may be empty
     std::string callers_address; ///< "ip:port" for callers
     std::string peers_address; ///< "ip:port" for other daemons; empty for none
-    std::string readiness_address; ///< "ip:port" of its own for readiness; empty for none
-    std::string metrics_address; ///< "ip:port" of its own for metrics; empty for none
+    std::string readiness_address; ///< separate "ip:port" for readiness; empty for none
+    std::string metrics_address; ///< separate "ip:port" for metrics; empty for none
     bool uses_directory = false; ///< configuration and upstreams come from a directory
-    /// "ip:port" for daemons of the hall that follow this one's directory; empty: none do.
+    /// "ip:port" for daemons of the hall that follow this daemon's directory; empty for
+    /// none.
     std::string feed_address;
-    /// Where other daemons find the two; as above unless something lies between.
+    /// Addresses at which other daemons reach the peers and feed listeners; the same as
+    /// peers_address and feed_address unless a proxy or the like lies between.
     std::string announced_peers;
     std::string announced_feed;
-    double capacity = 1; ///< processor power of this node, relative to others
-    Micros directory_bound = 2 * kSecond; ///< a change is in force within it
+    double capacity = 1; ///< processor power of this node, relative to other nodes
+    Micros max_change_delay = 2 * kSecond; ///< until a directory change is in force
     Micros directory_heartbeat = 1200 * kMillisecond; ///< between records of an upstream
-    double directory_writes = 400; ///< that the directory bears in a second
-    /// How long an upstream whose record went in an outage is still believed in.
+    double directory_writes = 400; ///< per second that the directory can take
+    /// How long an upstream is kept whose record disappeared during an outage.
     Micros vanish_grace = 2 * kSecond;
     std::vector<std::string> peers; ///< addresses of other daemons of the hall
     int threads = 2;
     std::string router = "adaptive";
     std::string admission = "budget";
     PlatformSettings platform;
-    Micros snapshot_interval = 300 * kSecond; ///< bundle state is re-appended this often
+    Micros snapshot_interval = 300 * kSecond; ///< between repeated appends of bundle state
     std::vector<std::string> operators; ///< public keys, hex
-    std::string daemon_key; ///< raw bytes, common to all daemons
+    std::string daemon_key; ///< raw bytes, the same for all daemons
     TlsSettings tls;
     HttpLimits limits;
     SchedulerOptions scheduler;
     ClaimOptions claims;
     Micros watch_interval = 500 * kMillisecond; ///< between load reports of an upstream
-    double watch_rate = 5; ///< load reports asked for in a second, at most
+    double watch_rate = 5; ///< load reports requested per second, at most
     Micros gossip_interval = 1000 * kMillisecond; ///< between exchanges with a peer
-    Micros suspect_after = 6 * kSecond; ///< a silent peer is not counted then
-    LeaseOptions lease; ///< of the daemon that places models
-    double orders_per_s = 2; ///< orders to load models, so that the weight store bears it
-    Micros token_life = 600 * kSecond; ///< of resume tokens
-    Micros stop_grace = 2 * kSecond; ///< answering goes on so long after readiness fell
+    Micros suspect_after = 6 * kSecond; ///< an unresponsive peer is not counted after it
+    LeaseOptions lease; ///< lease of the daemon that places models
+    double orders_per_s = 2; ///< orders to load models; limits the load on the weight store
+    Micros token_life = 600 * kSecond; ///< lifetime of resume tokens
+    /// Requests are still accepted this long after readiness is cleared.
+    Micros stop_grace_period = 2 * kSecond;
     Micros stop_limit = 30 * kSecond; ///< a planned stop ends within it in any case
     std::string log_file;
     LogLevel log_level = LogLevel::Info;
     int log_lines_per_s = kLogLinesPerSecond;
 };
 
-/// Parses and checks; reports all faults at once.
+/// Parses and checks the settings; reports all faults at once.
 tl::expected<Settings, std::vector<Fault>> parse_settings(std::string_view text);
 
-/// Faults as lines "file:line: message".
+/// Formats faults as lines "file:line: message"; line 0 is left out.
 std::string format_faults(std::string_view file, const std::vector<Fault>& faults);
 
 } // namespace cypressford
--- a/src/libserve/upstream_says.cpp
+++ b/src/libserve/upstream_says.cpp
@@ -13,19 +13,19 @@
 {
     const Micros now = monotonic_us();
     const std::int64_t connected_ms = wall_ms() - (now - origin.connected) / kMillisecond;
-    SelfReport& said = *upstream.said;
-    const double limit_before = said.limit().per_s();
+    SelfReport& self_report = *upstream.said;
+    const double limit_before = self_report.limit().per_s();
     if (answer.cold_left > 0)
         upstream.cold.note(now + answer.cold_left);
     if (answer.leaves)
-        said.note_leaving(now, connected_ms);
+        self_report.note_leaving(now, connected_ms);
     if (answer.rest > 0)
-        said.note_rest(now + answer.rest, connected_ms);
-    // One that can't be read says neither that there is a limit nor that there is none.
-    const bool is_clear = answer.limit_per_s || !answer.limit_unread;
-    const bool limit_changed
-        = is_clear && said.note_limit(answer.limit_per_s, origin.sent, now, connected_ms);
-    const bool is_new_fault = answer.limit_unread && said.note_unread_limit();
+        self_report.note_rest(now + answer.rest, connected_ms);
+    // An unreadable limit shows neither that there is a limit nor that there is none.
+    const bool is_readable = answer.limit_per_s || !answer.limit_unread;
+    const bool limit_changed = is_readable
+        && self_report.note_limit(answer.limit_per_s, origin.sent, now, connected_ms);
+    const bool is_new_fault = answer.limit_unread && self_report.note_unread_limit();
     if (!answer.leaves && answer.rest == 0 && !answer.rest_unread && !limit_changed
         && !is_new_fault)
         return;
@@ -36,7 +36,7 @@
         .kv("leaves", answer.leaves)
         .kv("rest_us", answer.rest)
         .kv("rest_unread", answer.rest_unread)
-        .kv("limit_per_s", said.limit().per_s())
+        .kv("limit_per_s", self_report.limit().per_s())
         .kv("limit_before", limit_before)
         .kv("limit_unread", answer.limit_unread)
         .kv("call", origin.call);
@@ -56,45 +56,45 @@
 } // namespace
 
 LimitWords
-limit_words(const UpstreamSet& set, Micros now)
+limit_reports(const UpstreamSet& set, Micros now)
 {
-    LimitWords words;
+    LimitWords reports;
     for_each_upstream(set, [&](const UpstreamState& upstream) {
-        const auto word = upstream.said->word(upstream.run(), now);
-        if (word && words.size() < kMaxLimitWords)
-            words.push_back(*word);
+        const auto report = upstream.said->word(upstream.run(), now);
+        if (report && reports.size() < kMaxLimitWords)
+            reports.push_back(*report);
     });
-    return words;
+    return reports;
 }
 
 void
-take_words(const UpstreamSet& set, const LimitWords& words, Micros now)
+receive_limit_reports(const UpstreamSet& set, const LimitWords& reports, Micros now)
 {
-    if (words.empty())
+    if (reports.empty())
         return;
     for_each_upstream(set, [&](const UpstreamState& upstream) {
-        for (const LimitWord& word : words) {
-            if (word.run != upstream.run() || !upstream.said->note_word(word, now))
+        for (const LimitWord& report : reports) {
+            if (report.run != upstream.run() || !upstream.said->note_word(report, now))
                 continue;
             LogEvent("limit_told")
                 .kv("upstream", upstream.address)
                 .kv("identity", upstream.identity)
                 .kv("born", upstream.born)
-                .kv("limit_per_s", word.per_s)
-                .kv("ago_us", word.ago);
+                .kv("limit_per_s", report.per_s)
+                .kv("ago_us", report.ago);
         }
     });
 }
 
 LimitWords
-later_words(const UpstreamSet& set, const LimitWords& words, Micros now)
+newer_limit_reports(const UpstreamSet& set, const LimitWords& reports, Micros now)
 {
     LimitWords later;
-    if (words.empty())
+    if (reports.empty())
         return later;
-    for (const LimitWord& own : limit_words(set, now))
-        for (const LimitWord& word : words)
-            if (own.run == word.run && own.per_s != word.per_s)
+    for (const LimitWord& own : limit_reports(set, now))
+        for (const LimitWord& report : reports)
+            if (own.run == report.run && own.per_s != report.per_s)
                 later.push_back(own);
     return later;
 }
--- a/src/libserve/upstream_says.h
+++ b/src/libserve/upstream_says.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What upstreams say of themselves in their answers, whatever the answer is to.
+/// Limits, backoffs and other state that upstreams report about themselves in any answer.
 
 #pragma once
 
@@ -13,24 +13,25 @@
 
 namespace cypressford {
 
-/// Which answer says something.
+/// The call whose answer carries a report.
 struct AnswerOrigin {
-    Micros sent = 0; ///< when the call was sent that it answers
-    Micros connected = 0; ///< when its connection came up
-    std::string_view call; ///< for the log
+    Micros sent = 0; ///< when the call was sent
+    Micros connected = 0; ///< when its connection was established
+    std::string_view call; ///< name of the call for the log
 };
 
-/// Takes over what an answer of that upstream says of it.
+/// Applies to `upstream` what its answer reports about it.
 void hear(UpstreamState& upstream, const UpstreamAnswer& answer,
           const AnswerOrigin& origin);
 
-/// What there is to tell other daemons of limits that upstreams of the set name.
-LimitWords limit_words(const UpstreamSet& set, Micros now);
+/// Reports for other daemons on the limits that upstreams of the set have named.
+LimitWords limit_reports(const UpstreamSet& set, Micros now);
 
-/// Takes over what another daemon tells of them.
-void take_words(const UpstreamSet& set, const LimitWords& words, Micros now);
+/// Applies the limit reports of another daemon.
+void receive_limit_reports(const UpstreamSet& set, const LimitWords& reports, Micros now);
 
-/// What this daemon has heard otherwise, or later, of the limits that `words` tell of.
-LimitWords later_words(const UpstreamSet& set, const LimitWords& words, Micros now);
+/// This daemon's reports that differ from `reports` for the same run of an upstream.
+LimitWords newer_limit_reports(const UpstreamSet& set, const LimitWords& reports,
+                               Micros now);
 
 } // namespace cypressford
