--- a/testsuite/fuzz/directory_fuzz.cpp
+++ b/testsuite/fuzz/directory_fuzz.cpp
@@ -3,10 +3,10 @@
 
 /// \file
 /// Stateful fuzzing of DirectoryView: three daemons of a hall read a log themselves
-/// and ask each other, in any order and with any delay, while upstreams come, drain,
-/// go and start again, older records are written late, configurations change, halls are
-/// evacuated, the log forgets, or comes back from an older copy.  A simple oracle knows the
-/// whole log.
+/// and query each other, in any order and with any delay, while upstreams start, drain,
+/// end and restart, older records are written late, configurations change, halls are
+/// evacuated, and the log is truncated or restored from an older copy.  A simple oracle has
+/// the whole log.
 ///
 ///   cypressford_directory_fuzz               fixed cases
 ///   cypressford_directory_fuzz --mutations   each deliberate fault must be caught
@@ -57,8 +57,8 @@
     });
 }
 
-/// Records of evacuations reach a daemon by several ways and in any order; what holds in
-/// the end is what the log holds.
+/// Records of evacuations reach a daemon over several paths and in any order; the newest
+/// record of a hall decides.
 bool
 run_evacuation_cases(int cases, std::uint64_t seed)
 {
@@ -77,9 +77,10 @@
     });
 }
 
-/// Records of ends and of whole answers reach a daemon in any order, some twice; who has
-/// them all refuses what the log says.  Requests that share no end are judged by a simple
-/// oracle, those that ran together by a table that read the log in order.
+/// Records of upstreams' ends and of whole answers reach a daemon in any order, some twice;
+/// a daemon that has all of them quarantines the requests that the log does.  Requests that
+/// share no end are checked against a simple oracle, requests that ran together against a
+/// table that read the log in order.
 bool
 run_suspect_cases(int cases, std::uint64_t seed)
 {
--- a/testsuite/fuzz/directory_log.h
+++ b/testsuite/fuzz/directory_log.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The log that the daemons of a DirectoryWorld read: its records, and what an oracle makes
-/// of them.
+/// The log that the daemons of a DirectoryWorld read: its records, and the state that an
+/// oracle derives from them.
 
 #pragma once
 
@@ -20,8 +20,8 @@
 constexpr std::size_t kHalls = 2; ///< that operators evacuate
 constexpr std::size_t kTopics = 2; ///< configuration and upstreams
 
-/// Values are larger than what is sent between daemons as it is, so that they go there
-/// compressed.
+/// Makes values larger than the limit for uncompressed values between daemons, so that they
+/// are sent compressed.
 constexpr std::size_t kFillerBytes = 5000;
 
 inline std::string
@@ -36,39 +36,39 @@
     return {"config", large_value(version, std::to_string(version))};
 }
 
-/// Begins or ends the evacuation of one of the halls.
+/// Starts or ends the evacuation of a hall.
 inline DirectoryRecord
 evacuation(std::size_t hall, bool begun)
 {
     return {"evacuation/" + std::to_string(hall % kHalls), begun ? "{}" : ""};
 }
 
-struct Written {
+struct WrittenRecord {
     DirectoryRecord record;
     Micros at = 0;
 };
 
 /// One topic of the log.
 struct Topic {
-    std::vector<Written> records;
-    Offset first = 0; ///< what came before is forgotten
+    std::vector<WrittenRecord> records;
+    Offset first = 0; ///< earlier records are truncated
 
     Offset end() const { return static_cast<Offset>(records.size()); }
 };
 
-/// What the oracle makes of the first records of the upstreams' topic.
-struct Truth {
+/// An upstream's state after the first records of the upstreams' topic.
+struct ExpectedUpstream {
     std::uint64_t rank = 0; ///< of the newest record
     bool present = false;
 };
 
-/// A record's place among those of its upstream: by start, then by sequence.
+/// A record's position among those of its upstream: by start, then by sequence.
 inline std::uint64_t
 rank_of(const std::string& value)
 {
-    constexpr std::uint64_t records_of_run = 1'000'000;
+    constexpr std::uint64_t records_per_run = 1'000'000;
     const std::size_t at = value.find('@');
-    return std::stoull(value.substr(at + 1)) * records_of_run + std::stoull(value);
+    return std::stoull(value.substr(at + 1)) * records_per_run + std::stoull(value);
 }
 
 } // namespace cypressford::fuzz
--- a/testsuite/fuzz/directory_steps.h
+++ b/testsuite/fuzz/directory_steps.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What may happen to the daemons of a DirectoryWorld and the log that they read, and how
-/// often.
+/// The steps of a DirectoryWorld, which change its daemons and the log that they read, and
+/// their weights.
 
 #pragma once
 
@@ -14,41 +14,41 @@
 namespace cypressford::fuzz {
 
 enum class StepKind : unsigned char {
-    Beat,
+    Keepalive,
     Drain,
-    Go,
-    StartAgain,
-    WriteLate,
+    Remove,
+    RestartUpstream,
+    WriteDelayed,
     Configure,
-    WriteOlder,
+    WriteOlderConfiguration,
     Evacuate,
-    Forget,
+    Truncate,
     Restore,
     Read,
-    Ask,
-    Answer,
-    Deliver,
-    Restart,
+    SendQuery,
+    AnswerQuery,
+    DeliverAnswer,
+    RestartDaemon,
     Advance
 };
 
-/// How often each kind is drawn.
+/// How often each kind is drawn, relative to the others.
 constexpr std::array<std::pair<StepKind, std::size_t>, 16> kWeights {{
-    {StepKind::Beat, 16},
+    {StepKind::Keepalive, 16},
     {StepKind::Drain, 1},
-    {StepKind::Go, 3},
-    {StepKind::StartAgain, 2},
-    {StepKind::WriteLate, 10},
+    {StepKind::Remove, 3},
+    {StepKind::RestartUpstream, 2},
+    {StepKind::WriteDelayed, 10},
     {StepKind::Configure, 2},
-    {StepKind::WriteOlder, 2},
+    {StepKind::WriteOlderConfiguration, 2},
     {StepKind::Evacuate, 3},
-    {StepKind::Forget, 1},
+    {StepKind::Truncate, 1},
     {StepKind::Restore, 1},
     {StepKind::Read, 10},
-    {StepKind::Ask, 24},
-    {StepKind::Answer, 24},
-    {StepKind::Deliver, 24},
-    {StepKind::Restart, 1},
+    {StepKind::SendQuery, 24},
+    {StepKind::AnswerQuery, 24},
+    {StepKind::DeliverAnswer, 24},
+    {StepKind::RestartDaemon, 1},
     {StepKind::Advance, 6},
 }};
 
@@ -61,14 +61,14 @@
     return sum;
 }
 
-/// The kind at that place if each stands as often as its weight says.
+/// The kind at a position in the sequence that holds each kind as often as its weight.
 inline StepKind
-kind_at(std::size_t place)
+kind_at(std::size_t position)
 {
     for (const auto& [kind, weight] : kWeights) {
-        if (place < weight)
+        if (position < weight)
             return kind;
-        place -= weight;
+        position -= weight;
     }
     return StepKind::Advance;
 }
--- a/testsuite/fuzz/directory_world.h
+++ b/testsuite/fuzz/directory_world.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Three daemons of a hall, the log that they read, and an oracle that knows all of it.
+/// Three daemons of a hall, the log that they read, and an oracle that has the whole log.
 
 #pragma once
 
@@ -34,7 +34,7 @@
     DirectoryWorld()
     {
         for (std::size_t d = 0; d < kDaemons; ++d)
-            restart(d);
+            restart_daemon(d);
     }
 
     void run(const Step& step)
@@ -42,50 +42,50 @@
         const std::size_t upstream = step.a % kUpstreams;
         const std::size_t daemon = step.a % kDaemons;
         switch (step.kind) {
-        case StepKind::Beat:
-            beat(upstream, false);
+        case StepKind::Keepalive:
+            write_keepalive(upstream, false);
             break;
         case StepKind::Drain:
-            beat(upstream, true);
+            write_keepalive(upstream, true);
             break;
-        case StepKind::Go:
-            go(upstream);
+        case StepKind::Remove:
+            write_removal(upstream);
             break;
-        case StepKind::StartAgain:
-            start_again(upstream);
+        case StepKind::RestartUpstream:
+            restart_upstream(upstream);
             break;
-        case StepKind::WriteLate:
-            write_late(upstream, step.b % 3 == 0);
+        case StepKind::WriteDelayed:
+            write_delayed(upstream, step.b % 3 == 0);
             break;
         case StepKind::Configure:
             append(DirectoryTopic::Configuration, configuration_of(++m_version));
             break;
-        case StepKind::WriteOlder:
-            write_older(step.a);
+        case StepKind::WriteOlderConfiguration:
+            write_older_configuration(step.a);
             break;
         case StepKind::Evacuate:
             append(DirectoryTopic::Configuration, evacuation(step.a, step.b % 2 == 0));
             break;
-        case StepKind::Forget:
-            of(topic_of(step.b)).first = of(topic_of(step.b)).end();
+        case StepKind::Truncate:
+            log_of(topic_of(step.b)).first = log_of(topic_of(step.b)).end();
             break;
         case StepKind::Restore:
-            restore(step.a, step.b);
+            restore_log(step.a, step.b);
             break;
         case StepKind::Read:
             read(daemon, topic_of(step.b));
             break;
-        case StepKind::Ask:
-            ask(daemon, step.b % kDaemons, step.b / kDaemons % 2 == 0);
+        case StepKind::SendQuery:
+            send_query(daemon, step.b % kDaemons, step.b / kDaemons % 2 == 0);
             break;
-        case StepKind::Answer:
-            answer(step.a, step.b % 2 == 0);
+        case StepKind::AnswerQuery:
+            answer_query(step.a, step.b % 2 == 0);
             break;
-        case StepKind::Deliver:
-            deliver(step.a);
+        case StepKind::DeliverAnswer:
+            deliver_answer(step.a);
             break;
-        case StepKind::Restart:
-            restart(daemon);
+        case StepKind::RestartDaemon:
+            restart_daemon(daemon);
             break;
         case StepKind::Advance:
             m_now += static_cast<Micros>(step.a % 40) * 50 * kMillisecond;
@@ -101,18 +101,18 @@
         std::unique_ptr<DirectoryView> view;
         std::uint64_t version = 0; ///< highest that was in force
         std::map<std::string, std::uint64_t> starts; ///< highest that were in force
-        std::set<std::string> ended; ///< told by another daemon, not listed again since
-        std::map<std::string, std::uint64_t> told; ///< ranks of records that it heard of
+        std::set<std::string> reported_ended; ///< by another daemon; cleared by a listing
+        std::map<std::string, std::uint64_t> received_ranks; ///< highest rank by key
     };
-    struct Question {
+    struct PendingQuery {
         std::size_t from = 0;
         std::size_t to = 0;
-        std::uint64_t life = 0; ///< of the one who asks
+        std::uint64_t incarnation = 0; ///< of the daemon that sends the query
         FeedQuery query;
         Micros asked_at = 0;
     };
-    struct Reply {
-        Question question;
+    struct PendingAnswer {
+        PendingQuery sent_query;
         FeedAnswer answer;
     };
 
@@ -120,18 +120,18 @@
     {
         return static_cast<DirectoryTopic>(number % kTopics);
     }
-    Topic& of(DirectoryTopic topic) { return m_log[static_cast<std::size_t>(topic)]; }
+    Topic& log_of(DirectoryTopic topic) { return m_log[static_cast<std::size_t>(topic)]; }
 
     void append(DirectoryTopic topic, DirectoryRecord record)
     {
-        of(topic).records.push_back({std::move(record), m_now});
+        log_of(topic).records.push_back({std::move(record), m_now});
     }
 
     static std::string name_of(std::size_t upstream) { return std::to_string(upstream); }
 
-    void beat(std::size_t upstream, bool leaving)
+    void write_keepalive(std::size_t upstream, bool leaving)
     {
-        if (m_gone.contains(upstream))
+        if (m_removed.contains(upstream))
             return;
         if (leaving)
             m_leaving.insert(upstream);
@@ -147,36 +147,36 @@
         return large_value(sequence, "@" + std::to_string(start) + mark);
     }
 
-    /// Under the identity that it had, with a count that begins anew.
-    void start_again(std::size_t upstream)
+    /// The upstream keeps its identity, and its sequence starts again.
+    void restart_upstream(std::size_t upstream)
     {
         if (m_sequences[upstream] == 0)
             return;
         m_last_sequences[upstream] = m_sequences[upstream];
         m_sequences[upstream] = 0;
         ++m_starts[upstream];
-        m_gone.erase(upstream);
+        m_removed.erase(upstream);
         m_leaving.erase(upstream);
-        beat(upstream, false);
+        write_keepalive(upstream, false);
     }
 
-    void go(std::size_t upstream)
+    void write_removal(std::size_t upstream)
     {
-        if (m_sequences[upstream] == 0 || !m_gone.insert(upstream).second)
+        if (m_sequences[upstream] == 0 || !m_removed.insert(upstream).second)
             return;
         append(DirectoryTopic::Upstreams, {name_of(upstream), ""});
     }
 
-    void write_older(std::size_t number)
+    void write_older_configuration(std::size_t number)
     {
         if (m_version > 0)
             append(DirectoryTopic::Configuration, configuration_of(1 + number % m_version));
     }
 
-    /// A record that was under way arrives after newer ones.
-    void write_late(std::size_t upstream, bool of_run_before)
+    /// A delayed record arrives after newer ones.
+    void write_delayed(std::size_t upstream, bool of_previous_run)
     {
-        if (of_run_before && m_starts[upstream] > 1)
+        if (of_previous_run && m_starts[upstream] > 1)
             append(
                 DirectoryTopic::Upstreams,
                 {name_of(upstream),
@@ -187,45 +187,47 @@
                     record_of(m_sequences[upstream] - 1, m_starts[upstream], "")});
     }
 
-    void restart(std::size_t daemon)
+    void restart_daemon(std::size_t daemon)
     {
         m_daemons[daemon] = {};
         const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
         m_daemons[daemon].view = std::make_unique<DirectoryView>(
             m_dialect, pace, 0, "n" + std::to_string(daemon), "hall", 400, m_now);
-        ++m_lives[daemon];
+        ++m_incarnations[daemon];
     }
 
-    /// The log comes back from an older copy, and its writers write again what holds.
-    void restore(std::size_t a, std::size_t b)
+    /// The log is restored from an older copy, and its writers write the present state
+    /// again.
+    void restore_log(std::size_t a, std::size_t b)
     {
         const std::map<std::string, bool> evacuations
-            = evacuations_before(of(DirectoryTopic::Configuration).end());
-        for (const auto& [name, truth] : truth_before(of(DirectoryTopic::Upstreams).end()))
-            if (!truth.present)
-                m_ended_before_restore[name] = truth;
-        keep_first(DirectoryTopic::Configuration, a);
-        keep_first(DirectoryTopic::Upstreams, b);
+            = evacuations_before(log_of(DirectoryTopic::Configuration).end());
+        for (const auto& [name, expected] :
+             expected_before(log_of(DirectoryTopic::Upstreams).end()))
+            if (!expected.present)
+                m_ended_before_restore[name] = expected;
+        drop_last(DirectoryTopic::Configuration, a);
+        drop_last(DirectoryTopic::Upstreams, b);
         ++m_generation;
         for (const auto& [hall, begun] : evacuations)
             append(DirectoryTopic::Configuration, evacuation(std::stoul(hall), begun));
         if (m_version > 0)
             append(DirectoryTopic::Configuration, configuration_of(m_version));
         std::set<std::string> listed;
-        for (const Written& written : of(DirectoryTopic::Upstreams).records)
+        for (const WrittenRecord& written : log_of(DirectoryTopic::Upstreams).records)
             listed.insert(written.record.key);
         for (std::size_t upstream = 0; upstream < kUpstreams; ++upstream) {
-            if (m_gone.contains(upstream) && listed.contains(name_of(upstream)))
+            if (m_removed.contains(upstream) && listed.contains(name_of(upstream)))
                 append(DirectoryTopic::Upstreams, {name_of(upstream), ""});
             else if (m_sequences[upstream] > 0)
-                beat(upstream, false);
+                write_keepalive(upstream, false);
         }
     }
 
-    /// The last records of the topic, up to sixty of them, are lost.
-    void keep_first(DirectoryTopic topic, std::size_t lost)
+    /// Loses the last records of the topic, up to 60.
+    void drop_last(DirectoryTopic topic, std::size_t lost)
     {
-        Topic& log = of(topic);
+        Topic& log = log_of(topic);
         log.records.resize(log.records.size() - std::min(lost, log.records.size()));
         log.first = std::min(log.first, log.end());
     }
@@ -233,59 +235,62 @@
     void read(std::size_t daemon, DirectoryTopic topic)
     {
         DirectoryView& view = *m_daemons[daemon].view;
-        // What such an answer holds is of offsets that hold no more.
+        // The offsets in a response of another generation are no longer valid.
         if (view.note_generation(m_generation, m_now))
             return;
-        const Topic& log = of(topic);
+        const Topic& log = log_of(topic);
         const std::optional<Offset> next = view.of(topic).next;
         if (next && (*next < log.first || *next > log.end())) {
-            // It lists the topic by itself, or is told of all of it by another daemon.
+            // The daemon lists the topic itself, or gets a listing from another daemon.
             view.note_history_lost(topic, m_now);
             return;
         }
         if (!next) {
-            list(daemon, topic);
+            list_topic(daemon, topic);
             return;
         }
         std::vector<DirectoryRecord> records;
         for (Offset at = *next; at < log.end(); ++at)
             records.push_back(log.records[static_cast<std::size_t>(at)].record);
         if (topic == DirectoryTopic::Upstreams)
-            note_page(m_daemons[daemon], *next, records);
+            record_page(m_daemons[daemon], *next, records);
         view.take_page(topic, *next, records, m_now, 0, m_now);
     }
 
-    static void note_told(Daemon& daemon, const DirectoryRecord& record)
+    static void record_received(Daemon& daemon, const DirectoryRecord& record)
     {
         if (!record.value.empty()) {
-            std::uint64_t& told = daemon.told[record.key];
-            told = std::max(told, rank_of(record.value));
+            std::uint64_t& rank = daemon.received_ranks[record.key];
+            rank = std::max(rank, rank_of(record.value));
         }
     }
 
-    /// One that was not told of signs of life, and then reads the end of an upstream
-    /// itself, can't know an older record, written later still, from a return.  That is
-    /// a known limit; what it believes, and tells, of that upstream is not judged.
-    void note_page(Daemon& daemon, Offset from, const std::vector<DirectoryRecord>& records)
+    /// If a daemon has missed keepalives of an upstream and then reads the upstream's end
+    /// from the log, it can't tell an older record that is written after the end from a
+    /// return of the upstream.  This is a known limit; the daemon's view of the upstream,
+    /// and what it reports of it to other daemons, are not checked.
+    void record_page(Daemon& daemon, Offset from,
+                     const std::vector<DirectoryRecord>& records)
     {
-        const auto truths = truth_before(from);
+        const auto upstreams = expected_before(from);
         for (const DirectoryRecord& record : records) {
-            const auto truth = truths.find(record.key);
-            const bool is_blind = record.value.empty() && truth != truths.end()
-                && daemon.told[record.key] < truth->second.rank;
-            if (is_blind)
-                m_doubtful.insert(record.key);
-            note_told(daemon, record);
+            const auto expected = upstreams.find(record.key);
+            const bool has_missed_record = record.value.empty()
+                && expected != upstreams.end()
+                && daemon.received_ranks[record.key] < expected->second.rank;
+            if (has_missed_record)
+                m_unchecked_upstreams.insert(record.key);
+            record_received(daemon, record);
         }
     }
 
-    void list(std::size_t daemon, DirectoryTopic topic)
+    void list_topic(std::size_t daemon, DirectoryTopic topic)
     {
         DirectoryView& view = *m_daemons[daemon].view;
-        const Topic& log = of(topic);
+        const Topic& log = log_of(topic);
         std::map<std::string, DirectoryRecord> newest;
         Offset offset = 0;
-        for (const Written& written : log.records) {
+        for (const WrittenRecord& written : log.records) {
             newest[written.record.key] = written.record;
             newest[written.record.key].offset = offset++;
         }
@@ -295,58 +300,58 @@
                 records.push_back(record);
         if (topic == DirectoryTopic::Upstreams)
             for (const DirectoryRecord& record : records)
-                note_told(m_daemons[daemon], record);
+                record_received(m_daemons[daemon], record);
         view.begin_listing(topic, m_now);
         view.take_listed(topic, records, m_now);
         view.end_listing(topic, log.end(), m_now, m_now);
         if (topic == DirectoryTopic::Upstreams)
-            m_daemons[daemon].ended.clear();
+            m_daemons[daemon].reported_ended.clear();
     }
 
-    void ask(std::size_t from, std::size_t to, bool wants_signs)
+    void send_query(std::size_t from, std::size_t to, bool wants_signs)
     {
         if (from == to)
             return;
         FeedQuery query = m_daemons[from].view->query();
         query.cursors.resize(kTopics);
         query.wants_signs = wants_signs;
-        m_questions.push_back({from, to, m_lives[from], query, m_now});
+        m_queries.push_back({from, to, m_incarnations[from], query, m_now});
     }
 
-    /// The question arrives now, or arrived at once and was held until now.
-    void answer(std::size_t index, bool held)
+    /// The query arrives now, or it arrived when it was sent and was held until now.
+    void answer_query(std::size_t index, bool held)
     {
-        if (m_questions.empty())
+        if (m_queries.empty())
             return;
         const auto at
-            = m_questions.begin() + static_cast<std::ptrdiff_t>(index % m_questions.size());
-        DirectoryView& asked = *m_daemons[at->to].view;
-        asked.hear_generation(at->query.generation, m_now);
-        Reply reply {*at, asked.answer_to(at->query, m_now)};
+            = m_queries.begin() + static_cast<std::ptrdiff_t>(index % m_queries.size());
+        DirectoryView& target = *m_daemons[at->to].view;
+        target.hear_generation(at->query.generation, m_now);
+        PendingAnswer reply {*at, target.answer_to(at->query, m_now)};
         reply.answer.held = held ? m_now - at->asked_at : 0;
-        m_questions.erase(at);
-        m_replies.push_back(std::move(reply));
+        m_queries.erase(at);
+        m_answers.push_back(std::move(reply));
     }
 
-    void deliver(std::size_t index)
+    void deliver_answer(std::size_t index)
     {
-        if (m_replies.empty())
+        if (m_answers.empty())
             return;
         const auto at
-            = m_replies.begin() + static_cast<std::ptrdiff_t>(index % m_replies.size());
-        const Reply reply = std::move(*at);
-        m_replies.erase(at);
-        Daemon& daemon = m_daemons[reply.question.from];
-        if (reply.question.life != m_lives[reply.question.from])
+            = m_answers.begin() + static_cast<std::ptrdiff_t>(index % m_answers.size());
+        const PendingAnswer reply = std::move(*at);
+        m_answers.erase(at);
+        Daemon& daemon = m_daemons[reply.sent_query.from];
+        if (reply.sent_query.incarnation != m_incarnations[reply.sent_query.from])
             return;
         daemon.view->hear_generation(reply.answer.generation, m_now);
         if (daemon.view->generation() == reply.answer.generation)
-            note_ended(daemon, reply.answer);
+            record_ends(daemon, reply.answer);
         const auto answer = decode_feed_answer(encode(reply.answer));
-        daemon.view->take_answer(*answer, reply.question.asked_at, m_now);
+        daemon.view->take_answer(*answer, reply.sent_query.asked_at, m_now);
     }
 
-    static void note_ended(Daemon& daemon, const FeedAnswer& answer)
+    static void record_ends(Daemon& daemon, const FeedAnswer& answer)
     {
         for (const FeedAnswer::Topic& topic : answer.topics) {
             const TopicView& known = daemon.view->of(topic.topic);
@@ -356,49 +361,49 @@
                 && topic.listing_end >= known.known_to
                 && known.next.value_or(-1) < topic.listing_end;
             if (is_listing)
-                note_listed(daemon, topic);
+                record_listing(daemon, topic);
             if (!is_listing && !known.next)
                 continue;
             const Offset next = is_listing ? topic.listing_end : *known.next;
             for (OffsetRecord entry : topic.records) {
                 RC_ASSERT(RecordPacker::unpack(entry, RecordHistory()));
-                note_told(daemon, entry.record);
+                record_received(daemon, entry.record);
                 if (entry.record.value.empty() && entry.offset >= next)
-                    daemon.ended.insert(entry.record.key);
+                    daemon.reported_ended.insert(entry.record.key);
             }
         }
     }
 
-    /// All of the topic from another daemon, like a listing of the log's.
-    static void note_listed(Daemon& daemon, const FeedAnswer::Topic& topic)
+    /// Another daemon sent the whole topic, as a listing of the log does.
+    static void record_listing(Daemon& daemon, const FeedAnswer::Topic& topic)
     {
-        daemon.ended.clear();
+        daemon.reported_ended.clear();
         for (const std::string& part : topic.listing) {
             const auto records = unpack_listing(part);
             RC_ASSERT(records.has_value());
             for (const OffsetRecord& entry : *records)
-                note_told(daemon, entry.record);
+                record_received(daemon, entry.record);
         }
     }
 
-    std::map<std::string, Truth> truth_before(Offset end)
+    std::map<std::string, ExpectedUpstream> expected_before(Offset end)
     {
-        std::map<std::string, Truth> truths = m_ended_before_restore;
-        const Topic& log = of(DirectoryTopic::Upstreams);
+        std::map<std::string, ExpectedUpstream> upstreams = m_ended_before_restore;
+        const Topic& log = log_of(DirectoryTopic::Upstreams);
         for (Offset at = 0; at < end; ++at) {
             const DirectoryRecord& record
                 = log.records[static_cast<std::size_t>(at)].record;
-            Truth& truth = truths[record.key];
+            ExpectedUpstream& expected = upstreams[record.key];
             if (record.value.empty()) {
-                truth.present = false;
+                expected.present = false;
                 continue;
             }
             const std::uint64_t rank = rank_of(record.value);
-            if (rank <= truth.rank)
+            if (rank <= expected.rank)
                 continue;
-            truth = {rank, true};
+            expected = {rank, true};
         }
-        return truths;
+        return upstreams;
     }
 
     void check(std::size_t number)
@@ -406,8 +411,8 @@
         Daemon& daemon = m_daemons[number];
         DirectoryView& view = *daemon.view;
         view.fold().expire(m_now);
-        check_rises(daemon);
-        // One that has not heard yet that the log was restored speaks of other offsets.
+        check_monotonic(daemon);
+        // Until a daemon receives the log's new generation, its offsets are of the old one.
         if (view.generation() != m_generation)
             return;
         for (std::size_t t = 0; t < kTopics; ++t)
@@ -417,20 +422,21 @@
         check_members(daemon);
     }
 
-    /// What was written before the time that the view claims is known to it.
+    /// The view has all records that were written before its `as_of` time.
     void check_age(const DirectoryView& view, DirectoryTopic topic)
     {
         const TopicView& known = view.of(topic);
         if (!known.next)
             return;
-        const Topic& log = of(topic);
+        const Topic& log = log_of(topic);
         for (Offset at = *known.next; at < log.end(); ++at)
             RC_ASSERT(log.records[static_cast<std::size_t>(at)].at + kMillisecond
                       >= known.as_of);
     }
 
-    /// Neither the configuration nor an upstream's run goes back within a daemon's life.
-    static void check_rises(Daemon& daemon)
+    /// Neither the configuration's version nor an upstream's start decreases until the
+    /// daemon restarts.
+    static void check_monotonic(Daemon& daemon)
     {
         const Bundle* bundle = daemon.view->fold().configuration();
         const std::uint64_t version = bundle ? bundle->version : 0;
@@ -439,14 +445,14 @@
         std::map<std::string, std::uint64_t> starts;
         for (const UpstreamMember& member : daemon.view->fold().members())
             starts[member.identity] = static_cast<std::uint64_t>(member.born);
-        check_starts(daemon, starts);
+        check_monotonic_starts(daemon, starts);
     }
 
     void check_version(Daemon& daemon)
     {
         const Bundle* bundle = daemon.view->fold().configuration();
         const std::uint64_t version = bundle ? bundle->version : 0;
-        // Whoever has read the topic has a configuration, if there was one.
+        // A daemon that has read the topic has a configuration if the log has one.
         const auto next = daemon.view->of(DirectoryTopic::Configuration).next;
         if (next && has_configuration_before(*next))
             RC_ASSERT(bundle != nullptr);
@@ -462,7 +468,8 @@
         return false;
     }
 
-    /// Whoever has read so far knows the halls that are evacuated by then, and no others.
+    /// A daemon that has read up to an offset has exactly the halls evacuated that the log
+    /// has there.
     void check_evacuations(Daemon& daemon)
     {
         const auto next = daemon.view->of(DirectoryTopic::Configuration).next;
@@ -476,7 +483,7 @@
         RC_ASSERT(std::set<std::string>(known.begin(), known.end()) == halls);
     }
 
-    /// Whether each hall that records name is evacuated.
+    /// By hall with records before the offset: true if it is evacuated.
     std::map<std::string, bool> evacuations_before(Offset end)
     {
         std::map<std::string, bool> halls;
@@ -488,12 +495,12 @@
 
     const DirectoryRecord& configuration_record(Offset at)
     {
-        const auto& records = of(DirectoryTopic::Configuration).records;
+        const auto& records = log_of(DirectoryTopic::Configuration).records;
         return records[static_cast<std::size_t>(at)].record;
     }
 
-    /// The newest configuration, if it was written last, is in force at whoever has read so
-    /// far, whoever told it.
+    /// The newest configuration, if it was written last, is in force in each daemon that
+    /// has read up to it, from the log or from another daemon.
     void check_newest(Offset next, std::uint64_t version)
     {
         std::uint64_t newest = 0;
@@ -508,10 +515,10 @@
         RC_ASSERT(last < newest || version >= newest);
     }
 
-    /// No upstream goes back to a run before, within one life of a daemon, while it is
-    /// known.
-    static void check_starts(Daemon& daemon,
-                             const std::map<std::string, std::uint64_t>& starts)
+    /// An upstream that is listed never goes back to an earlier run until the daemon
+    /// restarts.
+    static void check_monotonic_starts(Daemon& daemon,
+                                       const std::map<std::string, std::uint64_t>& starts)
     {
         for (const auto& [name, start] : starts) {
             RC_ASSERT(start >= daemon.starts[name]);
@@ -519,7 +526,8 @@
         }
     }
 
-    /// Nothing that exists is missing, and what another daemon told to be gone stays so.
+    /// No existing upstream is missing, and an upstream that another daemon reported as
+    /// ended stays absent.
     void check_members(Daemon& daemon)
     {
         const TopicView& known = daemon.view->of(DirectoryTopic::Upstreams);
@@ -528,10 +536,11 @@
         std::set<std::string> members;
         for (const UpstreamMember& member : daemon.view->fold().members())
             members.insert(member.identity);
-        for (const auto& [name, truth] : truth_before(*known.next)) {
-            if (truth.present)
+        for (const auto& [name, expected] : expected_before(*known.next)) {
+            if (expected.present)
                 RC_ASSERT(members.contains(name));
-            else if (daemon.ended.contains(name) && !m_doubtful.contains(name))
+            else if (daemon.reported_ended.contains(name)
+                     && !m_unchecked_upstreams.contains(name))
                 RC_ASSERT(!members.contains(name));
         }
     }
@@ -540,17 +549,18 @@
     Micros m_now = kSecond;
     std::array<Topic, kTopics> m_log;
     std::array<Daemon, kDaemons> m_daemons;
-    std::array<std::uint64_t, kDaemons> m_lives {};
+    std::array<std::uint64_t, kDaemons> m_incarnations {};
     std::array<std::uint64_t, kUpstreams> m_sequences {};
     std::array<std::uint64_t, kUpstreams> m_starts {1, 1, 1, 1, 1};
-    std::array<std::uint64_t, kUpstreams> m_last_sequences {}; ///< of the run before
-    std::set<std::size_t> m_gone;
-    std::set<std::string> m_doubtful;
-    /// What a record that is older than their lost end does not bring back.
-    std::map<std::string, Truth> m_ended_before_restore;
+    std::array<std::uint64_t, kUpstreams> m_last_sequences {}; ///< of the previous run
+    std::set<std::size_t> m_removed;
+    std::set<std::string> m_unchecked_upstreams;
+    /// Upstreams whose end was lost with the log: a record that is older than the end does
+    /// not bring them back.
+    std::map<std::string, ExpectedUpstream> m_ended_before_restore;
     std::set<std::size_t> m_leaving;
-    std::vector<Question> m_questions;
-    std::vector<Reply> m_replies;
+    std::vector<PendingQuery> m_queries;
+    std::vector<PendingAnswer> m_answers;
     std::uint64_t m_version = 0;
     LogGeneration m_generation = 1;
 };
