--- a/testsuite/fuzz/relay_fuzz.cpp
+++ b/testsuite/fuzz/relay_fuzz.cpp
@@ -3,11 +3,11 @@
 
 /// \file
 /// Stateful fuzzing of relayed requests and their pieces: two schedulers over fake
-/// upstreams that refuse, break off, stay silent, lose results, say that they leave, ask
-/// for rest, start again or lapse from the platform's list, in any order, while operators
-/// evacuate halls and some requests are bound to a region.  An oracle knows which results
-/// exist, who released them, what ran, where nothing may go and what upstreams have said of
-/// themselves.
+/// upstreams that refuse, break off, do not respond, lose results, report that they leave,
+/// request backoff, restart or expire from the platform's list, in any order, while
+/// operators evacuate halls and some requests are bound to a region.  An oracle records
+/// which results exist and which were released, which attempts ran, where requests may not
+/// be sent and what upstreams have reported of themselves.
 ///
 ///   cypressford_relay_fuzz               fixed cases
 ///   cypressford_relay_fuzz --mutations   each deliberate fault must be caught
@@ -40,8 +40,7 @@
     return 0x51ed270b0a1f39c1ULL * static_cast<std::uint64_t>(daemon + 1);
 }
 
-/// Cases that the last call of run_cases() took, those that made a failure smaller
-/// included.
+/// Cases of the last call of run_cases(), including those that shrank a failure.
 int g_cases = 0;
 
 bool
@@ -52,27 +51,27 @@
         + " max_size=200 verbose_progress=0 noshrink="
         + (g_mutation == Mutation::None ? "0" : "1") + " seed=" + std::to_string(seed);
     setenv("RC_PARAMS", parameters.c_str(), 1);
-    return rc::check("relayed requests keep their promises", [] {
-        constexpr std::size_t numbers_of_step = 1000;
+    return rc::check("relayed requests keep the oracle's invariants", [] {
+        constexpr std::size_t arguments_per_step = 1000;
         RelayWorld world;
         ++g_cases;
         const auto steps = *rc::gen::container<std::vector<std::size_t>>(
-            rc::gen::inRange<std::size_t>(0, sum_of_weights() * numbers_of_step));
+            rc::gen::inRange<std::size_t>(0, sum_of_weights() * arguments_per_step));
         for (const std::size_t step : steps)
             world.run(step_at(step % sum_of_weights()), step / sum_of_weights());
         world.settle();
     });
 }
 
-/// Requests come to any number of daemons at any time; a cold upstream gets no more than
-/// it bears from all of them and the leader of its set together.
+/// Requests come to any number of daemons at any time; together, the daemons and the leader
+/// of the set send a cold upstream no more requests than its cold-start limit allows.
 bool
 run_cold_cases(int cases, std::uint64_t seed)
 {
     const std::string parameters = "max_success=" + std::to_string(cases)
         + " max_size=200 verbose_progress=0 noshrink=1 seed=" + std::to_string(seed);
     setenv("RC_PARAMS", parameters.c_str(), 1);
-    return rc::check("cold upstreams get what they bear", [] {
+    return rc::check("cold upstreams get no more requests than their limit", [] {
         const auto per_s = static_cast<double>(*rc::gen::inRange(1, 20));
         const auto daemons = *rc::gen::inRange(1, 300);
         const auto gap = *rc::gen::inRange<Micros>(kMillisecond, 40 * kMillisecond);
@@ -86,7 +85,7 @@
         std::vector<Micros> sent;
         for (Micros now = 0; now < time; now += gap) {
             const auto daemon = static_cast<std::size_t>(now / gap * 7 % daemons);
-            // The first leads, and the others reach it every other time.
+            // The first daemon leads, and each second request gets a grant from it.
             const bool granted = now / gap % 2 == 0 && states.front()->take_grant(now);
             if (granted || states[daemon]->take_send(daemons, now))
                 sent.push_back(now);
@@ -101,7 +100,7 @@
     });
 }
 
-/// A daemon with calls for one upstream that names a limit.
+/// A daemon with calls for one upstream that reports a limit.
 struct LimitedSender {
     explicit LimitedSender(int number, std::shared_ptr<const SharerCount> sharers)
         : report(seed_of(number), std::move(sharers))
@@ -109,26 +108,30 @@
         report.limit().set_led(true);
     }
 
-    /// Sends a call if it may, whose answer comes at once; true if it is one that counts.
+    /// Sends a call if allowed; the answer arrives at once.  True if the call is
+    /// counted against the limit.
     bool send(RatePart part, double limit, Micros now)
     {
         if (!report.limit().take(part, now))
             return false;
-        const bool counts = told_at > 0 && now - told_at >= kTellingTime;
+        const bool counts
+            = limit_known_since > 0 && now - limit_known_since >= kReportingTime;
         report.note_limit(limit, now, now);
-        if (told_at == 0)
-            told_at = now;
+        if (limit_known_since == 0)
+            limit_known_since = now;
         return counts;
     }
 
-    /// A daemon that heard of a limit less long ago is not held to it.
-    static constexpr Micros kTellingTime = 500 * kMillisecond;
+    /// A daemon's calls are not held to the limit until this time after it first received
+    /// the limit.
+    static constexpr Micros kReportingTime = 500 * kMillisecond;
     SelfReport report;
-    Micros told_at = 0; ///< 0: not yet
+    Micros limit_known_since = 0; ///< 0: no limit received yet
 };
 
-/// Requests come to any daemons at any time; leaders change, daemons are cut off from the
-/// list of daemons and send on, and others start again.  The limit holds for all together.
+/// Requests come to any daemons at any time; leaders change, daemons lose the list of
+/// daemons but continue to send, and others restart.  The limit holds for all of them
+/// together.
 bool
 run_limit_cases(int cases, std::uint64_t seed)
 {
@@ -139,33 +142,35 @@
         const double limit = *rc::gen::inRange(1, 40) / 4.0;
         const auto daemons = *rc::gen::inRange(1, 300);
         const auto gap = *rc::gen::inRange<Micros>(kMillisecond, 20 * kMillisecond);
-        const auto leads_for = *rc::gen::inRange<Micros>(2 * kSecond, 20 * kSecond);
-        const auto cut_at = *rc::gen::inRange<Micros>(4 * kSecond, 12 * kSecond);
+        const auto leader_term = *rc::gen::inRange<Micros>(2 * kSecond, 20 * kSecond);
+        const auto disconnected_at = *rc::gen::inRange<Micros>(4 * kSecond, 12 * kSecond);
         constexpr Micros time = 24 * kSecond;
-        constexpr Micros contact = 3 * kSecond;
-        constexpr Micros cut_for = SharerCount::kKeep - kSecond;
+        constexpr Micros settling_time = 3 * kSecond;
+        constexpr Micros disconnect_time = SharerCount::kKeep - kSecond;
         const auto sharers = std::make_shared<SharerCount>();
         std::vector<std::unique_ptr<LimitedSender>> senders;
         senders.reserve(static_cast<std::size_t>(daemons));
         for (int i = 0; i < daemons; ++i)
             senders.push_back(std::make_unique<LimitedSender>(i, sharers));
         std::vector<Micros> sent;
-        Micros named_at = 0;
+        Micros limit_reported_at = 0;
         for (Micros now = kSecond; now < time; now += gap) {
-            const bool is_cut = now >= cut_at && now < cut_at + cut_for;
-            sharers->set(is_cut ? 1 : daemons, now);
+            const bool is_disconnected
+                = now >= disconnected_at && now < disconnected_at + disconnect_time;
+            sharers->set(is_disconnected ? 1 : daemons, now);
             const auto turn = static_cast<std::size_t>(now / gap);
-            const auto leader = static_cast<std::size_t>(now / leads_for * 5 % daemons);
-            const auto starts = turn * 31 % (daemons * 64);
-            if (starts < senders.size() && turn % 97 == 0)
-                senders[starts]
+            const auto leader = static_cast<std::size_t>(now / leader_term * 5 % daemons);
+            const auto restarted = turn * 31 % (daemons * 64);
+            if (restarted < senders.size() && turn % 97 == 0)
+                senders[restarted]
                     = std::make_unique<LimitedSender>(static_cast<int>(turn), sharers);
-            if (named_at == 0)
-                named_at = now;
+            if (limit_reported_at == 0)
+                limit_reported_at = now;
             for (const bool granted : {true, false}) {
                 LimitedSender& sender = *senders[granted ? leader : turn * 7 % daemons];
                 const RatePart part = granted ? RatePart::Granted : RatePart::Own;
-                if (sender.send(part, limit, now) && now - named_at >= contact)
+                if (sender.send(part, limit, now)
+                    && now - limit_reported_at >= settling_time)
                     sent.push_back(now);
             }
         }
--- a/testsuite/fuzz/relay_upstreams.cpp
+++ b/testsuite/fuzz/relay_upstreams.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// RelayWorld: what its upstreams say of themselves, and what may come to them.
+/// RelayWorld: what its upstreams report of themselves, and the checks of calls to them.
 
 #include "relay_world.h"
 
@@ -13,133 +13,134 @@
 namespace cypressford::fuzz {
 
 UpstreamPtr
-RelayWorld::state_of(const UpstreamFacts& facts) const
+RelayWorld::state_of(const UpstreamModel& model) const
 {
     for (const UpstreamSet& set : m_snapshot->sets)
         for (const auto* side : {&set.own, &set.remote})
             for (const auto& state : *side)
-                if (state->identity == facts.member.identity)
+                if (state->identity == model.member.identity)
                     return state;
     return nullptr;
 }
 
 void
-RelayWorld::say_leaving(std::size_t number)
+RelayWorld::report_leaving(std::size_t number)
 {
-    UpstreamFacts& facts = m_upstreams[number % m_upstreams.size()];
-    const UpstreamPtr state = state_of(facts);
+    UpstreamModel& model = m_upstreams[number % m_upstreams.size()];
+    const UpstreamPtr state = state_of(model);
     if (!state)
         return;
-    facts.leaves = true;
+    model.leaves = true;
     state->said->note_leaving();
 }
 
 void
-RelayWorld::ask_for_rest(std::size_t number)
+RelayWorld::request_backoff(std::size_t number)
 {
-    UpstreamFacts& facts = m_upstreams[number % m_upstreams.size()];
-    const UpstreamPtr state = state_of(facts);
+    UpstreamModel& model = m_upstreams[number % m_upstreams.size()];
+    const UpstreamPtr state = state_of(model);
     if (!state)
         return;
     const Micros until
         = m_now + static_cast<Micros>(1 + number / 7 % 30) * 100 * kMillisecond;
-    facts.rests_until = std::max(facts.rests_until, until);
+    model.rests_until = std::max(model.rests_until, until);
     state->said->note_rest(until);
 }
 
-/// An answer to a call that was sent just now names a limit, or none.
+/// The answer to a call that was sent at this time reports a limit, or reports none.
 void
-RelayWorld::name_limit(std::size_t number)
+RelayWorld::report_limit(std::size_t number)
 {
-    UpstreamFacts& facts = m_upstreams[number % m_upstreams.size()];
-    const UpstreamPtr state = state_of(facts);
+    UpstreamModel& model = m_upstreams[number % m_upstreams.size()];
+    const UpstreamPtr state = state_of(model);
     if (!state)
         return;
     constexpr std::array<double, 4> limits {0, 0.05, 0.2, 1};
-    const double named = limits.at(number / 7 % limits.size());
-    const double before = facts.limit_per_s;
-    const bool is_newer = m_now > facts.limit_heard;
-    state->said->note_limit(named > 0 ? std::optional(named) : std::nullopt, m_now, m_now);
-    if (named == 0) {
-        facts.limit_per_s = is_newer ? 0 : before;
+    const double reported = limits.at(number / 7 % limits.size());
+    const double before = model.limit_per_s;
+    const bool is_newer = m_now > model.limit_received_at;
+    state->said->note_limit(reported > 0 ? std::optional(reported) : std::nullopt, m_now,
+                            m_now);
+    if (reported == 0) {
+        model.limit_per_s = is_newer ? 0 : before;
     } else {
-        // Of two answers at one time either may be the later word.
+        // Either of two answers of the same time may be the later; the lower limit holds.
         const bool holds_lower = !is_newer && before > 0;
-        facts.limit_per_s = holds_lower ? std::min(named, before) : named;
-        facts.limit_heard = m_now;
+        model.limit_per_s = holds_lower ? std::min(reported, before) : reported;
+        model.limit_received_at = m_now;
     }
-    if (facts.limit_per_s == before)
+    if (model.limit_per_s == before)
         return;
-    facts.limited_since = m_now;
-    facts.calls_since = 0;
+    model.limit_since = m_now;
+    model.calls_since_limit = 0;
 }
 
-/// It keeps its identity, as it may.
+/// The upstream restarts and keeps its identity, which is allowed.
 void
-RelayWorld::start_again(std::size_t number)
+RelayWorld::restart_upstream(std::size_t number)
 {
-    UpstreamFacts& facts = m_upstreams[number % m_upstreams.size()];
-    ++facts.member.born;
-    facts.listed = true;
-    facts.leaves = false;
-    facts.rests_until = 0;
-    facts.limit_per_s = 0;
-    facts.limit_heard = 0;
+    UpstreamModel& model = m_upstreams[number % m_upstreams.size()];
+    ++model.member.born;
+    model.listed = true;
+    model.leaves = false;
+    model.rests_until = 0;
+    model.limit_per_s = 0;
+    model.limit_received_at = 0;
     list_upstreams();
 }
 
 void
-RelayWorld::lapse_or_return(std::size_t number)
+RelayWorld::toggle_listing(std::size_t number)
 {
-    UpstreamFacts& facts = m_upstreams[number % m_upstreams.size()];
-    facts.listed = !facts.listed;
+    UpstreamModel& model = m_upstreams[number % m_upstreams.size()];
+    model.listed = !model.listed;
     list_upstreams();
 }
 
 void
 RelayWorld::check_reports() const
 {
-    for (const UpstreamFacts& facts : m_upstreams) {
-        const UpstreamPtr state = state_of(facts);
+    for (const UpstreamModel& model : m_upstreams) {
+        const UpstreamPtr state = state_of(model);
         if (!state)
             continue;
-        RC_ASSERT(state->born == facts.member.born);
-        RC_ASSERT(state->said->leaves() == facts.leaves);
-        RC_ASSERT(state->said->rests_until() == facts.rests_until);
-        RC_ASSERT(state->said->limit().per_s() == facts.limit_per_s);
+        RC_ASSERT(state->born == model.member.born);
+        RC_ASSERT(state->said->leaves() == model.leaves);
+        RC_ASSERT(state->said->rests_until() == model.rests_until);
+        RC_ASSERT(state->said->limit().per_s() == model.limit_per_s);
     }
 }
 
 void
-RelayWorld::count_arrival(const AttemptFacts& attempt)
+RelayWorld::count_arrival(const AttemptModel& attempt)
 {
-    for (UpstreamFacts& facts : m_upstreams) {
-        if (facts.member.identity != attempt.upstream->identity || facts.limit_per_s == 0)
+    for (UpstreamModel& model : m_upstreams) {
+        if (model.member.identity != attempt.upstream->identity || model.limit_per_s == 0)
             continue;
-        ++facts.calls_since;
-        // The only daemon there is has all of the limit, and one call in hand.
-        const Micros lasted = m_now - facts.limited_since + SharedRate::kSavedTime;
-        const double may
-            = 1 + 1.5 * facts.limit_per_s * static_cast<double>(lasted) / kSecond;
-        RC_ASSERT(facts.calls_since <= may);
+        ++model.calls_since_limit;
+        // The only daemon has the whole limit, and may send one call ahead.
+        const Micros elapsed = m_now - model.limit_since + SharedRate::kSavedTime;
+        const double max_calls
+            = 1 + 1.5 * model.limit_per_s * static_cast<double>(elapsed) / kSecond;
+        RC_ASSERT(model.calls_since_limit <= max_calls);
     }
 }
 
-/// What the run has said of itself, to whichever thread, and what operators and the
-/// platform's list say of it.
+/// The call respects the reports of the upstream's present run, whichever thread received
+/// them, the operators' evacuations and the platform's list.
 void
-RelayWorld::check_arrival(const AttemptFacts& attempt) const
+RelayWorld::check_arrival(const AttemptModel& attempt) const
 {
     const UpstreamState& state = *attempt.upstream;
     RC_ASSERT(std::find(m_evacuated.begin(), m_evacuated.end(), state.hall)
               == m_evacuated.end());
-    for (const UpstreamFacts& facts : m_upstreams) {
-        if (facts.member.identity != state.identity)
+    for (const UpstreamModel& model : m_upstreams) {
+        if (model.member.identity != state.identity)
             continue;
-        RC_ASSERT(facts.listed);
-        RC_ASSERT(facts.member.born == state.born);
-        RC_ASSERT(!facts.leaves);
-        RC_ASSERT(facts.rests_until <= m_now);
+        RC_ASSERT(model.listed);
+        RC_ASSERT(model.member.born == state.born);
+        RC_ASSERT(!model.leaves);
+        RC_ASSERT(model.rests_until <= m_now);
     }
 }
 
--- a/testsuite/fuzz/relay_world.cpp
+++ b/testsuite/fuzz/relay_world.cpp
@@ -19,15 +19,28 @@
 constexpr int kMaxAttempts = 3;
 
 constexpr std::array<std::pair<Step, std::size_t>, 20> kWeights {
-    {{Step::Arrive, 4},    {Step::StartStages, 8}, {Step::MakeStage, 10},
-     {Step::FailStage, 1}, {Step::LosePiece, 1},   {Step::Connect, 6},
-     {Step::Refuse, 1},    {Step::Read, 6},        {Step::Finish, 3},
-     {Step::Lose, 3},      {Step::Fail, 1},        {Step::CallerLeaves, 1},
-     {Step::Evacuate, 1},  {Step::SayLeaving, 1},  {Step::AskForRest, 1},
-     {Step::NameLimit, 1}, {Step::StartAgain, 1},  {Step::LapseOrReturn, 1},
-     {Step::Wait, 3},      {Step::RepeatLast, 1}}};
-
-/// The one with that number among the keys, counted round and round.
+    {{Step::Arrive, 4},
+     {Step::StartStages, 8},
+     {Step::CompleteStage, 10},
+     {Step::FailStage, 1},
+     {Step::LosePiece, 1},
+     {Step::Connect, 6},
+     {Step::Refuse, 1},
+     {Step::Read, 6},
+     {Step::Finish, 3},
+     {Step::Lose, 3},
+     {Step::Fail, 1},
+     {Step::CallerDisconnects, 1},
+     {Step::Evacuate, 1},
+     {Step::ReportLeaving, 1},
+     {Step::RequestBackoff, 1},
+     {Step::ReportLimit, 1},
+     {Step::RestartUpstream, 1},
+     {Step::ToggleListing, 1},
+     {Step::Wait, 3},
+     {Step::RepeatLast, 1}}};
+
+/// The element with this number, modulo the size of the map; the end if the map is empty.
 template <class Map>
 auto
 pick(Map& map, std::size_t number)
@@ -42,7 +55,7 @@
 options()
 {
     SchedulerOptions options;
-    options.retry_burst = 1000; // the limit has tests of its own
+    options.retry_burst = 1000; // the retry limit has tests of its own
     return options;
 }
 
@@ -98,7 +111,7 @@
     case Step::StartStages:
         start_stages(number);
         break;
-    case Step::MakeStage:
+    case Step::CompleteStage:
         end_stage(number, true);
         break;
     case Step::FailStage:
@@ -126,35 +139,35 @@
     case Step::Fail:
         end_attempt(number, AttemptStatus::Failed);
         break;
-    case Step::CallerLeaves:
+    case Step::CallerDisconnects:
         if (const auto it = pick(m_requests, number); it != m_requests.end())
             handle(it->first, CallerClosed {it->first});
         break;
     case Step::Evacuate:
         evacuate(number);
         break;
-    case Step::SayLeaving:
-        say_leaving(number);
+    case Step::ReportLeaving:
+        report_leaving(number);
         break;
-    case Step::AskForRest:
-        ask_for_rest(number);
+    case Step::RequestBackoff:
+        request_backoff(number);
         break;
-    case Step::NameLimit:
-        name_limit(number);
+    case Step::ReportLimit:
+        report_limit(number);
         break;
-    case Step::StartAgain:
-        start_again(number);
+    case Step::RestartUpstream:
+        restart_upstream(number);
         break;
-    case Step::LapseOrReturn:
-        lapse_or_return(number);
+    case Step::ToggleListing:
+        toggle_listing(number);
         break;
     case Step::Wait:
         m_now += static_cast<Micros>(1 + number % 20) * 20 * kMillisecond;
         tick();
         break;
     case Step::RepeatLast:
-        if (m_last)
-            handle(m_last->first, m_last->second);
+        if (m_last_event)
+            handle(m_last_event->first, m_last_event->second);
         break;
     }
 }
@@ -169,9 +182,9 @@
                     m_attempts.begin()->second.connected ? AttemptStatus::Lost
                                                          : AttemptStatus::NotSent);
     tick();
-    for (const auto& [id, facts] : m_requests) {
-        RC_ASSERT(facts.replies == 1 || facts.forgotten);
-        RC_ASSERT(facts.forgotten);
+    for (const auto& [id, model] : m_requests) {
+        RC_ASSERT(model.replies == 1 || model.forgotten);
+        RC_ASSERT(model.forgotten);
     }
     for (const auto& [handle, piece] : m_pieces)
         RC_ASSERT(piece.released);
@@ -179,8 +192,8 @@
         RC_ASSERT(scheduler->live() == 0);
 }
 
-/// Two stages of pieces, the second of which reads the first, and one that only
-/// the upstream reads.
+/// Three piece stages: the second reads the results of the first; the third has results
+/// that only the upstream reads.
 void
 RelayWorld::publish()
 {
@@ -219,14 +232,14 @@
 RelayWorld::list_upstreams()
 {
     std::vector<UpstreamMember> members;
-    for (const UpstreamFacts& facts : m_upstreams)
-        if (facts.listed)
-            members.push_back(facts.member);
+    for (const UpstreamModel& model : m_upstreams)
+        if (model.listed)
+            members.push_back(model.member);
     m_snapshot = m_table.build(m_bundle, members);
     check_reports();
 }
 
-/// Any set of the two halls is evacuated now.
+/// Any combination of the two halls is evacuated from now on.
 void
 RelayWorld::evacuate(std::size_t number)
 {
@@ -242,22 +255,22 @@
 RelayWorld::arrive(std::size_t number)
 {
     const RequestId id = m_next_request++;
-    RequestFacts facts;
-    facts.pipeline = number % kPipelines;
+    RequestModel model;
+    model.pipeline = number % kPipelines;
     const bool needs_pieces = number % 5 != 0;
-    facts.counts = needs_pieces ? std::vector<int> {1, static_cast<int>(number % 3), 1}
+    model.counts = needs_pieces ? std::vector<int> {1, static_cast<int>(number % 3), 1}
                                 : std::vector<int> {0, 0, 0};
     RequestSpec spec;
     spec.id = id;
     spec.snapshot = m_snapshot;
-    spec.pipeline = facts.pipeline;
+    spec.pipeline = model.pipeline;
     spec.account = m_snapshot->bundle->nobody;
     spec.deadline = m_now + kDeadline;
-    spec.pieces = facts.counts;
+    spec.pieces = model.counts;
     if (number % 4 == 0)
-        facts.halls = HallLimit({number % 8 == 0 ? "a" : "b"});
-    spec.halls = facts.halls;
-    m_requests.emplace(id, std::move(facts));
+        model.halls = HallLimit({number % 8 == 0 ? "a" : "b"});
+    spec.halls = model.halls;
+    m_requests.emplace(id, std::move(model));
     handle(id, RequestArrived {std::move(spec)});
 }
 
@@ -267,34 +280,34 @@
     const auto it = pick(m_preparing, number);
     if (it == m_preparing.end())
         return;
-    RequestFacts& facts = m_requests.at(*it);
-    for (const std::size_t stage : facts.preparation->plan.take_ready()) {
-        for (const std::string& input : facts.preparation->plan.inputs_of(stage))
+    RequestModel& model = m_requests.at(*it);
+    for (const std::size_t stage : model.preparation->plan.take_ready()) {
+        for (const std::string& input : model.preparation->plan.inputs_of(stage))
             RC_ASSERT(!m_pieces.at(input).released);
-        facts.preparation->running.insert(stage);
+        model.preparation->running.insert(stage);
     }
 }
 
 void
-RelayWorld::end_stage(std::size_t number, bool made)
+RelayWorld::end_stage(std::size_t number, bool succeeded)
 {
     const auto it = pick(m_preparing, number);
     if (it == m_preparing.end())
         return;
     const RequestId id = *it;
-    RequestFacts& facts = m_requests.at(id);
-    auto& [plan, running] = *facts.preparation;
+    RequestModel& model = m_requests.at(id);
+    auto& [plan, running] = *model.preparation;
     if (running.empty())
         return;
     const std::size_t stage = *running.begin();
     running.erase(running.begin());
     for (const std::string& input : plan.inputs_of(stage))
-        made = made && !m_pieces.at(input).lost;
-    if (!made) {
+        succeeded = succeeded && !m_pieces.at(input).lost;
+    if (!succeeded) {
         end_preparation(id, false);
         return;
     }
-    plan.stage_made(stage, make_pieces(facts.counts[stage]));
+    plan.stage_made(stage, make_pieces(model.counts[stage]));
     release(plan.take_releasable());
     if (plan.is_done())
         end_preparation(id, true);
@@ -312,17 +325,17 @@
 }
 
 void
-RelayWorld::end_preparation(RequestId id, bool made)
+RelayWorld::end_preparation(RequestId id, bool succeeded)
 {
-    RequestFacts& facts = m_requests.at(id);
+    RequestModel& model = m_requests.at(id);
     m_preparing.erase(id);
-    if (made)
-        facts.inputs = facts.preparation->plan.final_inputs();
+    if (succeeded)
+        model.inputs = model.preparation->plan.final_inputs();
     else
-        release(facts.preparation->plan.unreleased());
-    facts.preparation.reset();
-    m_last = {id, PreparationEnded {id, made, "a", ""}};
-    handle(id, m_last->second);
+        release(model.preparation->plan.unreleased());
+    model.preparation.reset();
+    m_last_event = {id, PreparationEnded {id, succeeded, "a", ""}};
+    handle(id, m_last_event->second);
 }
 
 void
@@ -336,7 +349,8 @@
 
 // ------------------------------------------------------------ attempts
 
-/// The connection is there; the call goes out unless the upstream takes none any more.
+/// The connection is established; the call is sent unless the upstream accepts no more
+/// calls.
 void
 RelayWorld::connect(std::size_t number)
 {
@@ -352,7 +366,7 @@
     count_arrival(it->second);
 }
 
-/// The upstream fetches what it is to read and begins to answer.
+/// The upstream fetches its inputs and starts to answer.
 void
 RelayWorld::read_inputs(std::size_t number)
 {
@@ -360,26 +374,26 @@
     if (it == m_attempts.end() || !it->second.connected || it->second.has_read)
         return;
     const AttemptId id = it->first.second;
-    AttemptFacts& attempt = it->second;
-    RequestFacts& facts = m_requests.at(attempt.request);
-    for (const std::string& input : facts.inputs) {
+    AttemptModel& attempt = it->second;
+    RequestModel& model = m_requests.at(attempt.request);
+    for (const std::string& input : model.inputs) {
         const Piece& piece = m_pieces.at(input);
-        // One that was given up may find them released.
-        RC_ASSERT(!piece.released || attempt.cancelled || facts.forgotten);
+        // The inputs of a cancelled attempt may be released already.
+        RC_ASSERT(!piece.released || attempt.cancelled || model.forgotten);
         if (piece.lost || piece.released) {
             end_attempt(number, AttemptStatus::InputGone);
             return;
         }
     }
     attempt.has_read = true;
-    ++facts.runs;
-    RC_ASSERT(attempt.may_repeat || facts.runs == 1);
+    ++model.runs;
+    RC_ASSERT(attempt.may_repeat || model.runs == 1);
     const RequestId request = attempt.request;
     const bool cancelled = attempt.cancelled;
     handle(request, AttemptBegun {id});
     if (!cancelled) {
-        m_last = {request, InputsRead {id}};
-        handle(request, m_last->second);
+        m_last_event = {request, InputsRead {id}};
+        handle(request, m_last_event->second);
     }
 }
 
@@ -390,26 +404,27 @@
     if (it == m_attempts.end())
         return;
     const auto [key, attempt] = *it;
-    RequestFacts& facts = m_requests.at(attempt.request);
+    RequestModel& model = m_requests.at(attempt.request);
     const bool unsent = status == AttemptStatus::NotSent
         || status == AttemptStatus::Withheld || status == AttemptStatus::Quarantined;
-    // What has left may be answered, what has not may not.
+    // A status of an unsent call doesn't fit a call that was sent, nor the other way round.
     if (attempt.connected == unsent)
         return;
     const bool refused = status != AttemptStatus::Ok && status != AttemptStatus::Lost
         && status != AttemptStatus::Failed;
-    // What has begun is not refused, and a whole answer has begun.
+    // A call that has started is not refused, and a whole answer implies that it has
+    // started.
     if (attempt.has_read ? refused : status == AttemptStatus::Ok)
         return;
     if (!attempt.has_read && !refused) {
-        ++facts.runs; // nobody can tell
-        RC_ASSERT(attempt.may_repeat || facts.runs == 1);
+        ++model.runs; // whether the call ran is unknown; the oracle assumes it did
+        RC_ASSERT(attempt.may_repeat || model.runs == 1);
     }
     m_attempts.erase(it);
     if (attempt.cancelled && status == AttemptStatus::Ok)
         status = AttemptStatus::Lost;
-    m_last = {attempt.request, AttemptEnded {key.second, status}};
-    handle(attempt.request, m_last->second);
+    m_last_event = {attempt.request, AttemptEnded {key.second, status}};
+    handle(attempt.request, m_last_event->second);
 }
 
 // -------------------------------------------------- events and actions
@@ -440,22 +455,22 @@
 void
 RelayWorld::act(const SendAttempt& action)
 {
-    RequestFacts& facts = m_requests.at(action.request);
-    ++facts.sent;
-    RC_ASSERT(!facts.forgotten);
+    RequestModel& model = m_requests.at(action.request);
+    ++model.sent;
+    RC_ASSERT(!model.forgotten);
     const std::string& hall = action.upstream->hall;
-    RC_ASSERT(facts.halls.allows(hall));
-    const bool needs_pieces = facts.counts.front() > 0;
-    RC_ASSERT(!needs_pieces || !facts.inputs.empty());
-    for (const std::string& input : facts.inputs)
+    RC_ASSERT(model.halls.allows(hall));
+    const bool needs_pieces = model.counts.front() > 0;
+    RC_ASSERT(!needs_pieces || !model.inputs.empty());
+    for (const std::string& input : model.inputs)
         RC_ASSERT(!m_pieces.at(input).released);
     RC_ASSERT(m_now < action.deadline);
-    AttemptFacts attempt;
+    AttemptModel attempt;
     attempt.request = action.request;
     attempt.upstream = action.upstream;
     attempt.may_repeat = action.may_repeat;
     attempt.count = action.count;
-    // It is not chosen against what is known at this moment, either.
+    // The choice of the upstream, too, respects the reports at this time.
     check_arrival(attempt);
     m_attempts[{m_acting, action.attempt}] = std::move(attempt);
 }
@@ -471,70 +486,70 @@
 void
 RelayWorld::act(const BeginPreparation& action)
 {
-    RequestFacts& facts = m_requests.at(action.request);
-    RC_ASSERT(!facts.preparation);
-    RC_ASSERT(action.again == (facts.preparations > 0));
-    // A second set of results is made only when the first is of no use.
-    for (const std::string& input : facts.inputs)
+    RequestModel& model = m_requests.at(action.request);
+    RC_ASSERT(!model.preparation);
+    RC_ASSERT(action.again == (model.preparations > 0));
+    // A second set of results is made only if the first can't be used.
+    for (const std::string& input : model.inputs)
         RC_ASSERT(m_pieces.at(input).released || m_pieces.at(input).lost
-                  || has_lost(facts.inputs));
-    release_unreleased(facts.inputs);
-    ++facts.preparations;
-    const auto& pipeline = m_snapshot->bundle->pipelines[facts.pipeline];
-    facts.preparation.emplace(PiecePlan(pipeline.spec.piece_stages, facts.counts));
+                  || has_lost(model.inputs));
+    release_unreleased(model.inputs);
+    ++model.preparations;
+    const auto& pipeline = m_snapshot->bundle->pipelines[model.pipeline];
+    model.preparation.emplace(PiecePlan(pipeline.spec.piece_stages, model.counts));
     m_preparing.insert(action.request);
 }
 
 void
 RelayWorld::act(const CancelPreparation& action)
 {
-    RequestFacts& facts = m_requests.at(action.request);
+    RequestModel& model = m_requests.at(action.request);
     m_preparing.erase(action.request);
-    if (facts.preparation)
-        release(facts.preparation->plan.unreleased());
-    facts.preparation.reset();
+    if (model.preparation)
+        release(model.preparation->plan.unreleased());
+    model.preparation.reset();
 }
 
 void
 RelayWorld::act(const ReleaseInputs& action)
 {
-    RequestFacts& facts = m_requests.at(action.request);
-    // No attempt that is still to read them is under way.
+    RequestModel& model = m_requests.at(action.request);
+    // No attempt that has not yet read its inputs is under way.
     for (const auto& [id, attempt] : m_attempts)
         RC_ASSERT(attempt.request != action.request || attempt.has_read
                   || attempt.cancelled);
-    release_unreleased(facts.inputs);
+    release_unreleased(model.inputs);
 }
 
 void
 RelayWorld::act(const ReportUnreached& action)
 {
-    // Of a request that an upstream has, nothing may be told.
+    // Nothing may be reported of a request that an upstream has and the scheduler forgot.
     RC_ASSERT(!m_requests.at(action.request).forgotten);
 }
 
 void
 RelayWorld::act(const Reply& action)
 {
-    RequestFacts& facts = m_requests.at(action.request);
-    ++facts.replies;
-    RC_ASSERT(facts.replies == 1);
-    RC_ASSERT(action.ran != Ran::NotRun || facts.runs == 0);
+    RequestModel& model = m_requests.at(action.request);
+    ++model.replies;
+    RC_ASSERT(model.replies == 1);
+    RC_ASSERT(action.ran != Ran::NotRun || model.runs == 0);
 }
 
 void
 RelayWorld::act(const Forget& action)
 {
-    RequestFacts& facts = m_requests.at(action.request);
-    RC_ASSERT(!facts.forgotten);
-    facts.forgotten = true;
-    release_unreleased(facts.inputs);
+    RequestModel& model = m_requests.at(action.request);
+    RC_ASSERT(!model.forgotten);
+    model.forgotten = true;
+    release_unreleased(model.inputs);
 }
 
 void
 RelayWorld::act(const BeginClaim&)
 {
-    RC_FAIL("a relayed request needs no claim");
+    RC_FAIL("a relayed request requires no claim");
 }
 
 void
@@ -551,7 +566,7 @@
     });
 }
 
-/// The driver keeps what it holds; what it has released it does not hold.
+/// Marks results as released, including any that were released before.
 void
 RelayWorld::release_unreleased(const std::vector<std::string>& handles)
 {
--- a/testsuite/fuzz/relay_world.h
+++ b/testsuite/fuzz/relay_world.h
@@ -22,8 +22,8 @@
 
 /// A result at the upstream that made it.
 struct Piece {
-    bool lost = false; ///< its keeper died
-    bool released = false; ///< by us
+    bool lost = false; ///< its holder died
+    bool released = false; ///< by the daemon
 };
 
 /// Pieces that are being made for a request.
@@ -36,8 +36,8 @@
     std::set<std::size_t> running; ///< stages
 };
 
-/// A request as the driver and the oracle see it.
-struct RequestFacts {
+/// A request as the test driver and the oracle record it.
+struct RequestModel {
     std::size_t pipeline = 0;
     std::vector<int> counts;
     HallLimit halls;
@@ -45,38 +45,38 @@
     std::optional<Preparation> preparation;
     int preparations = 0;
     int sent = 0;
-    int runs = 0; ///< attempts that an upstream has begun
+    int runs = 0; ///< attempts that an upstream has started
     int replies = 0;
     bool forgotten = false;
 };
 
 /// An attempt at a fake upstream.
-struct AttemptFacts {
+struct AttemptModel {
     RequestId request = 0;
     UpstreamPtr upstream;
     bool may_repeat = true;
     CallCount count = CallCount::Own;
-    bool connected = false; ///< it has left this daemon
+    bool connected = false; ///< the call was sent
     bool cancelled = false;
     bool has_read = false;
 };
 
-/// An upstream as it is, and what its present run has said of itself.
-struct UpstreamFacts {
+/// An upstream's actual state, and the reports of its present run.
+struct UpstreamModel {
     UpstreamMember member;
     bool listed = true;
     bool leaves = false;
     Micros rests_until = 0;
-    double limit_per_s = 0; ///< that it names; 0: none
-    Micros limit_heard = 0;
-    Micros limited_since = 0; ///< by that limit
-    int calls_since = 0; ///< that came to it since
+    double limit_per_s = 0; ///< that it reports; 0: none
+    Micros limit_received_at = 0; ///< time of the last report of a limit; 0: none
+    Micros limit_since = 0; ///< start of the present limit
+    int calls_since_limit = 0; ///< calls that arrived under the present limit
 };
 
 enum class Step : unsigned char {
     Arrive,
     StartStages,
-    MakeStage,
+    CompleteStage,
     FailStage,
     LosePiece,
     Connect,
@@ -85,18 +85,18 @@
     Finish,
     Lose,
     Fail,
-    CallerLeaves,
+    CallerDisconnects,
     Evacuate,
-    SayLeaving,
-    AskForRest,
-    NameLimit,
-    StartAgain,
-    LapseOrReturn,
+    ReportLeaving,
+    RequestBackoff,
+    ReportLimit,
+    RestartUpstream,
+    ToggleListing,
     Wait,
     RepeatLast,
 };
 
-/// The step at that position of all steps by their weights.
+/// The step at that position of the sequence that holds each step as often as its weight.
 Step step_at(std::size_t position);
 std::size_t sum_of_weights();
 
@@ -107,7 +107,7 @@
 
     void run(Step step, std::size_t number);
 
-    /// Lets all deadlines pass; then nothing may be left over.
+    /// Lets all deadlines pass, and checks that nothing is left over.
     void settle();
 
 private:
@@ -118,21 +118,21 @@
     void evacuate(std::size_t number);
     void arrive(std::size_t number);
 
-    // What upstreams do.
-    void say_leaving(std::size_t number);
-    void ask_for_rest(std::size_t number);
-    void name_limit(std::size_t number);
-    void start_again(std::size_t number);
-    void lapse_or_return(std::size_t number);
-    UpstreamPtr state_of(const UpstreamFacts& facts) const;
-    /// Nothing that an earlier run has said holds for the present one.
+    // Behaviour of upstreams.
+    void report_leaving(std::size_t number);
+    void request_backoff(std::size_t number);
+    void report_limit(std::size_t number);
+    void restart_upstream(std::size_t number);
+    void toggle_listing(std::size_t number);
+    UpstreamPtr state_of(const UpstreamModel& model) const;
+    /// No report of an earlier run is in effect for the present run.
     void check_reports() const;
 
     // Pieces.
     void start_stages(std::size_t number);
-    void end_stage(std::size_t number, bool made);
+    void end_stage(std::size_t number, bool succeeded);
     std::vector<std::string> make_pieces(int count);
-    void end_preparation(RequestId id, bool made);
+    void end_preparation(RequestId id, bool succeeded);
     void release(const std::vector<std::string>& handles);
     void release_unreleased(const std::vector<std::string>& handles);
     bool has_lost(const std::vector<std::string>& handles) const;
@@ -141,9 +141,9 @@
     void connect(std::size_t number);
     void read_inputs(std::size_t number);
     void end_attempt(std::size_t number, AttemptStatus status);
-    void check_arrival(const AttemptFacts& attempt) const;
-    /// No more calls than this daemon's part of the limit that the upstream names.
-    void count_arrival(const AttemptFacts& attempt);
+    void check_arrival(const AttemptModel& attempt) const;
+    /// Counts calls against this daemon's share of the limit that the upstream reports.
+    void count_arrival(const AttemptModel& attempt);
 
     // Events and actions.
     Scheduler& scheduler_of(RequestId request);
@@ -167,15 +167,16 @@
     std::size_t m_acting = 0; ///< scheduler whose actions are carried out
     Bundle m_bundle;
     SnapshotPtr m_snapshot;
-    std::vector<UpstreamFacts> m_upstreams;
+    std::vector<UpstreamModel> m_upstreams;
     std::vector<std::string> m_evacuated; ///< halls
     Micros m_now = kSecond;
-    std::map<RequestId, RequestFacts> m_requests;
+    std::map<RequestId, RequestModel> m_requests;
     std::set<RequestId> m_preparing;
-    /// Ids of attempts are of their schedulers; both together are unique.
-    std::map<std::pair<std::size_t, AttemptId>, AttemptFacts> m_attempts;
+    /// Attempt ids are unique only together with the index of their scheduler.
+    std::map<std::pair<std::size_t, AttemptId>, AttemptModel> m_attempts;
     std::map<std::string, Piece> m_pieces;
-    std::optional<std::pair<RequestId, Event>> m_last; ///< to be told once more
+    /// Delivered again by Step::RepeatLast.
+    std::optional<std::pair<RequestId, Event>> m_last_event;
     RequestId m_next_request = 1;
 };
 
