--- a/testsuite/fuzz/fuzz_main.cpp
+++ b/testsuite/fuzz/fuzz_main.cpp
@@ -4,7 +4,7 @@
 /// \file
 /// Stateful fuzzing of the decision cores with RapidCheck's state machines.
 ///
-///   cypressford_fuzz                      a fixed number of fixed cases
+///   cypressford_fuzz                      a fixed number of cases from a fixed seed
 ///   cypressford_fuzz --seconds=600        as many as fit, with new seeds
 ///   cypressford_fuzz --mutations          each deliberate fault must be caught
 
@@ -22,17 +22,17 @@
 #include "world.h"
 
 ABSL_FLAG(int, cases, 300, "cases to run");
-ABSL_FLAG(int, seconds, 0, "run for this long instead, with new seeds");
+ABSL_FLAG(int, seconds, 0, "run for this many seconds instead, with new seeds");
 ABSL_FLAG(std::uint64_t, seed, 20261202, "first seed");
 ABSL_FLAG(std::string, only, "", "check this mutation only");
-ABSL_FLAG(bool, shrink, true, "make a failure small before it is printed");
+ABSL_FLAG(bool, shrink, true, "shrink a failing case before it is printed");
 ABSL_FLAG(bool, mutations, false, "check that each deliberate fault is caught");
 
 namespace cypressford::fuzz {
 
 namespace {
 
-/// What one step does.  The names stand in shrunk failures.
+/// Kinds of steps.  Their names are printed with a shrunk failure.
 enum class StepKind : unsigned char {
     Call,
     CallAgain,
@@ -61,9 +61,9 @@
     "LogSlow",    "LogHeals",    "CutHall",
     "TrimClaims", "RaceBundles", "RepeatAnswers"};
 
-/// The model: only what decides whether a step makes sense.
+/// The model: only the state that decides whether a step may run.
 struct Model {
-    int upstreams_left = 0; ///< how many are leaving
+    int leaving_upstreams = 0; ///< number of upstreams that are leaving
 };
 
 struct Step : rc::state::Command<Model, World> {
@@ -97,13 +97,13 @@
 
     void checkPreconditions(const Model& model) const override
     {
-        RC_PRE(kind != StepKind::Leave || model.upstreams_left < 2);
+        RC_PRE(kind != StepKind::Leave || model.leaving_upstreams < 2);
     }
 
     void apply(Model& model) const override
     {
         if (kind == StepKind::Leave)
-            ++model.upstreams_left;
+            ++model.leaving_upstreams;
     }
 
     void run(const Model&, World& world) const override
@@ -116,12 +116,12 @@
             world.call(daemon, other % kPipelines);
             break;
         case StepKind::CallAgain:
-            world.call_again(daemon, other % 6, false);
+            world.repeat_call(daemon, other % 6, false);
             break;
         case StepKind::CallAgainOtherBody:
-            world.call_again(daemon, other % 6, true);
+            world.repeat_call(daemon, other % 6, true);
             break;
-        // From 1 ms to about 60 s, short spans most often.
+        // From 1 ms to about 60 s; short times are the most frequent.
         case StepKind::Advance:
             world.advance((1 + a * a * a * b / 200) * kMillisecond);
             break;
@@ -170,8 +170,8 @@
             world.repeat_last_answers();
             break;
         }
-        if (!world.violation().empty())
-            RC_FAIL(world.violation());
+        if (!world.violation_message().empty())
+            RC_FAIL(world.violation_message());
     }
 
     void show(std::ostream& out) const override
@@ -196,7 +196,7 @@
     test_params.seed = seed;
     test_params.maxSuccess = cases;
     test_params.maxSize = 120;
-    // A caught mutation need not be made small.
+    // A caught mutation is not shrunk.
     test_params.disableShrinking
         = absl::GetFlag(FLAGS_mutations) || !absl::GetFlag(FLAGS_shrink);
     const auto property = [&outcome] {
@@ -205,8 +205,8 @@
         rc::state::check(Model {}, world, rc::state::gen::execOneOfWithArgs<Step>());
         world.settle();
         outcome.replies += world.replies();
-        if (!world.violation().empty())
-            RC_FAIL(world.violation());
+        if (!world.violation_message().empty())
+            RC_FAIL(world.violation_message());
     };
     const auto result
         = rc::detail::checkTestable(property, rc::detail::TestMetadata {}, test_params);
--- a/testsuite/fuzz/inputs_fuzz.cpp
+++ b/testsuite/fuzz/inputs_fuzz.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// libFuzzer over what crosses from outside: bundles, records of both streams,
-/// resume tokens, keys, addresses.  The first byte chooses the reader.
+/// libFuzzer over input from outside the process: bundles, records of both streams,
+/// resume tokens, keys, addresses.  The first byte selects the parser.
 
 #include <cstddef>
 #include <cstdint>
@@ -36,7 +36,7 @@
         require(!bundle.error().empty());
         return;
     }
-    // What was accepted survives its canonical form.
+    // An accepted bundle is unchanged by a round trip through its canonical form.
     const std::string canonical = canonical_json(*bundle);
     const auto again = parse_bundle_json(canonical);
     require(again.has_value() && canonical_json(*again) == canonical);
--- a/testsuite/fuzz/world.cpp
+++ b/testsuite/fuzz/world.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The fuzzer's world: its time, its daemons' beginning, and the steps.
+/// The fuzzer's world: its timeline, the start of its daemons, and the steps.
 
 #include "world_impl.h"
 
@@ -75,7 +75,7 @@
         start_daemon(i);
     }
     advance(kSecond);
-    // Some worlds start with learned latencies, so that calls are hedged.
+    // Some worlds start with recorded latencies, so that calls are hedged.
     for (int i = 0; seed % 3 == 0 && i < kWarmUpCalls; ++i) {
         call(0, Lookup);
         call(0, Summary);
@@ -126,7 +126,7 @@
 void
 World::tick(std::size_t index, std::uint64_t incarnation)
 {
-    deliver(index, incarnation, kTick, [this, index, incarnation](Daemon& d) {
+    deliver(index, incarnation, kTickInterval, [this, index, incarnation](Daemon& d) {
         feed(d, Tick {});
         feed_claims(d, ClaimTick {});
         poll(d);
@@ -141,7 +141,7 @@
 {
     const std::string body = "body" + std::to_string(m_next_body++);
     std::string key;
-    // A caller's clock is off as well.
+    // A caller's clock may be up to 1 s ahead.
     const WallMs key_time
         = kEpoch + m_time.now() / kMillisecond + static_cast<WallMs>(m_random() % 1000);
     if (pipeline == Label || pipeline == Alert || pipeline == Dedup) {
@@ -152,11 +152,11 @@
 }
 
 void
-World::call_again(std::size_t daemon, std::size_t which, bool other_body)
+World::repeat_call(std::size_t daemon, std::size_t key_index, bool other_body)
 {
     if (m_keys.empty())
         return;
-    const UsedKey used = m_keys[m_keys.size() - 1 - which % m_keys.size()];
+    const UsedKey used = m_keys[m_keys.size() - 1 - key_index % m_keys.size()];
     const std::string body = other_body ? used.body + "x" : used.body;
     issue(daemon, used.pipeline, used.key, body);
 }
@@ -169,8 +169,9 @@
     const RequestId id = m_next_request++;
     if (!daemon.alive || daemon.stopping || !daemon.snapshot)
         return;
-    m_facts[id] = {index, daemon.incarnation, pipeline, key, body, 0, false, false, 0};
-    deliver(index, daemon.incarnation, transit(),
+    m_request_models[id]
+        = {index, daemon.incarnation, pipeline, key, body, 0, false, false, 0};
+    deliver(index, daemon.incarnation, random_delay(),
             [this, id, pipeline, key, body](Daemon& d) {
                 RequestSpec spec;
                 spec.id = id;
@@ -180,7 +181,7 @@
                     = m_time.now() + d.snapshot->bundle->pipelines[pipeline].spec.deadline;
                 spec.has_key = !key.empty();
                 d.requests[id] = {body, std::nullopt};
-                m_facts[id].deadline = spec.deadline;
+                m_request_models[id].deadline = spec.deadline;
                 feed(d, RequestArrived {spec});
             });
 }
@@ -191,7 +192,7 @@
     m_upstreams[upstream].behaviour = behaviour;
 }
 
-/// The upstream refuses new work at once; the list says so later.
+/// The upstream refuses new work at once; the node list reports it kListDelay later.
 void
 World::leave(std::size_t index)
 {
@@ -202,16 +203,17 @@
     upstream.leaving_since = m_time.now();
 }
 
-/// The node list, as it was some time ago.
+/// Reads the node list as it was kListDelay ago.
 void
-World::read_list(Daemon& daemon)
+World::read_node_list(Daemon& daemon)
 {
     for (const FakeUpstream& upstream : m_upstreams) {
         const auto state = daemon.table->find(upstream.address);
-        if (!state || !upstream.leaving || upstream.leaving_since + kListLag > m_time.now())
+        if (!state || !upstream.leaving
+            || upstream.leaving_since + kListDelay > m_time.now())
             continue;
         state->mark_leaving();
-        daemon.told_leaving.insert(upstream.address);
+        daemon.known_leaving.insert(upstream.address);
     }
 }
 
@@ -233,7 +235,7 @@
 {
     Daemon& daemon = *m_daemons[index];
     daemon.paused = false;
-    daemon.informed_since = -1;
+    daemon.node_list_current_since = -1;
     const std::uint64_t incarnation = daemon.incarnation;
     while (!daemon.inbox.empty() && daemon.incarnation == incarnation) {
         const auto action = std::move(daemon.inbox.front());
@@ -253,26 +255,26 @@
 {
     const std::uint64_t base = m_newest_version;
     const std::uint64_t version = base + 1;
-    std::vector<BundleRecord> racers;
+    std::vector<BundleRecord> candidates;
     for (const int priority : {1, 2}) {
         const Bundle bundle = make_bundle(version, base, priority);
         BundleRecord record;
         record.name = bundle.name;
         record.version = version;
         record.bundle = canonical_json(bundle);
-        racers.push_back(*sign_record(record, m_operator.private_pem));
+        candidates.push_back(*sign_record(record, m_operator.private_pem));
     }
     if (!first_wins)
-        std::swap(racers[0], racers[1]);
-    append_bundle(racers[0]);
-    append_bundle(racers[1]);
-    m_content[version] = racers[0].bundle;
+        std::swap(candidates[0], candidates[1]);
+    append_bundle(candidates[0]);
+    append_bundle(candidates[1]);
+    m_bundle_bytes[version] = candidates[0].bundle;
     BundleRecord roll;
     roll.action = BundleAction::Roll;
-    roll.name = racers[0].name;
+    roll.name = candidates[0].name;
     roll.version = version;
     append_bundle(*sign_record(roll, m_operator.private_pem));
-    // A slow operator rolls the version before once more.
+    // A delayed operator rolls out the previous version again.
     roll.version = base;
     if (base > 0)
         append_bundle(*sign_record(roll, m_operator.private_pem));
@@ -285,13 +287,13 @@
     m_log.streams["bundles"].records.push_back(encode(record));
 }
 
-/// Late and duplicate answers: ends of attempts are told once more.
+/// Late and duplicate answers: the last attempts' ends are delivered again.
 void
 World::repeat_last_answers()
 {
     for (auto& daemon : m_daemons)
         if (!daemon->paused)
-            for (const auto& [attempt, status] : std::deque(daemon->last_ends))
+            for (const auto& [attempt, status] : std::deque(daemon->last_results))
                 feed(*daemon, AttemptEnded {attempt, status});
 }
 
--- a/testsuite/fuzz/world.h
+++ b/testsuite/fuzz/world.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A few daemons' decision cores over fakes of log and upstreams, in virtual
-/// time, with an oracle that knows what must never happen.
+/// Several daemons' decision cores over a fake log and fake upstreams, in virtual time,
+/// with an oracle that checks invariants.
 
 #pragma once
 
@@ -33,18 +33,18 @@
 /// How a fake upstream treats calls.
 enum class Behaviour : unsigned char {
     Good,
-    Lagging, ///< takes a good deal longer than usual
-    Slow, ///< takes seconds
-    Refuse, ///< not reachable, nothing is sent
-    Overloaded, ///< says 429, does not run
+    Lagging, ///< answers after 50 to 150 ms
+    Slow, ///< answers after 1 to 6 s
+    Refuse, ///< unreachable; nothing is sent
+    Overloaded, ///< answers 429 without running
     Fail, ///< runs, then answers with an error
-    FailUnrun, ///< answers with an error without running
+    FailBeforeRun, ///< answers with an error without running
     Cut, ///< runs, then the connection breaks
-    Silent, ///< runs, and answers after half a minute
+    Unresponsive, ///< runs, and answers after 30 s
 };
 inline constexpr int kBehaviours = 9;
 
-/// Deterministic events in virtual time.
+/// Runs scheduled events in virtual time, in a deterministic order.
 class Timeline {
 public:
     Micros now() const { return m_now; }
@@ -70,7 +70,7 @@
     std::uint64_t m_next = 0;
 };
 
-/// The log service, with the faults that the brief names.
+/// The log service, with faults that steps switch on and off.
 struct FakeLog {
     struct Stream {
         Offset first = 0;
@@ -93,20 +93,20 @@
     Micros leaving_since = 0;
 };
 
-/// What the oracle keeps of one request.
-struct CallFacts {
+/// The oracle's record of one request.
+struct RequestModel {
     std::size_t daemon = 0;
     std::uint64_t incarnation = 0;
     std::size_t pipeline = 0;
     std::string key;
     std::string body;
     int replies = 0;
-    bool said_not_run = false;
+    bool reported_not_run = false;
     bool ran = false;
     Micros deadline = 0;
 };
 
-/// A key that callers may come back with.
+/// An idempotency key that callers may use again.
 struct UsedKey {
     std::string key;
     std::size_t pipeline = 0;
@@ -123,7 +123,7 @@
 
     // Steps.
     void call(std::size_t daemon, std::size_t pipeline);
-    void call_again(std::size_t daemon, std::size_t which, bool other_body);
+    void repeat_call(std::size_t daemon, std::size_t key_index, bool other_body);
     void advance(Micros span) { m_time.run_for(span); }
     void set_behaviour(std::size_t upstream, Behaviour behaviour);
     void leave(std::size_t upstream);
@@ -136,11 +136,11 @@
     void trim_claims();
     FakeLog& log() { return m_log; }
 
-    /// Ends all faults, lets time pass, and checks what must hold in the end.
+    /// Ends all faults, advances the time, and checks the invariants of the final state.
     void settle();
 
-    /// The first property that was broken; empty for none.
-    const std::string& violation() const { return m_violation; }
+    /// The first invariant that was violated; empty: none.
+    const std::string& violation_message() const { return m_violation; }
 
     std::size_t upstream_count() const { return m_upstreams.size(); }
     std::size_t replies() const { return m_replies; }
@@ -171,24 +171,24 @@
                      const std::string& output);
     void arrive(std::size_t daemon, std::uint64_t incarnation, const SendAttempt& send,
                 std::size_t upstream, const std::string& input);
-    bool knows_other_body(const std::string& key, const std::string& input) const;
-    std::string run(FakeUpstream& upstream, const SendAttempt& send, CallFacts& facts,
+    bool has_conflicting_body(const std::string& key, const std::string& input) const;
+    std::string run(FakeUpstream& upstream, const SendAttempt& send, RequestModel& model,
                     const std::string& input);
     void append(Daemon& daemon, const ClaimBatch& batch);
     void poll(Daemon& daemon);
     void read_claims(Daemon& daemon);
-    void read_list(Daemon& daemon);
+    void read_node_list(Daemon& daemon);
     void read_bundles(Daemon& daemon);
     void tick(std::size_t daemon, std::uint64_t incarnation);
-    void check_reply(Daemon& daemon, const Reply& action, CallFacts& facts);
+    void check_reply(Daemon& daemon, const Reply& action, RequestModel& model);
     void check_leaving(const Daemon& daemon, const FakeUpstream& upstream);
     void check_free_keys();
     void append_bundle(const BundleRecord& record);
     Bundle make_bundle(std::uint64_t version, std::uint64_t builds_on, int priority) const;
     bool can_reach_log(const Daemon& daemon) const;
-    Micros transit();
+    Micros random_delay();
     WallMs wall(const Daemon& daemon) const;
-    void violate(const std::string& what);
+    void report_violation(const std::string& what);
 
     Timeline m_time;
     std::mt19937_64 m_random;
@@ -196,11 +196,11 @@
     KeyPair m_operator;
     std::vector<FakeUpstream> m_upstreams;
     std::vector<std::unique_ptr<Daemon>> m_daemons;
-    std::map<RequestId, CallFacts> m_facts;
-    std::map<std::string, std::string> m_deduplicated; ///< key to body, over the whole set
+    std::map<RequestId, RequestModel> m_request_models;
+    std::map<std::string, std::string> m_deduplicated; ///< key to body, of the whole set
     std::map<std::string, int> m_once_runs; ///< runs of non-repeatable stages, by key
     std::vector<UsedKey> m_keys;
-    std::map<std::uint64_t, std::string> m_content; ///< bundle version to its bytes
+    std::map<std::uint64_t, std::string> m_bundle_bytes; ///< canonical JSON, by version
     std::uint64_t m_newest_version = 0;
     std::uint64_t m_next_incarnation = 1;
     RequestId m_next_request = 1;
--- a/testsuite/fuzz/world_daemons.cpp
+++ b/testsuite/fuzz/world_daemons.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What the daemons' actions do in the fuzzer's world.
+/// Effects of the daemons' actions in the fuzzer's world.
 
 #include "world_impl.h"
 
@@ -28,7 +28,7 @@
             continue;
         }
         auto& decision = std::get<DecideClaim>(action);
-        // Another thread hears of it a little later.
+        // The decision reaches the scheduler's thread a little later.
         deliver(daemon.index, daemon.incarnation, kMillisecond,
                 [this, decision](Daemon& d) {
                     auto it = d.requests.find(decision.request);
@@ -50,12 +50,12 @@
     daemon.attempts[action.attempt] = {action.request, false};
     const std::string input = daemon.requests.at(action.request).input;
     const std::size_t index = static_cast<std::size_t>(upstream - m_upstreams.begin());
-    m_time.after(transit(),
+    m_time.after(random_delay(),
                  [this, d = daemon.index, inc = daemon.incarnation, action, index, input] {
                      arrive(d, inc, action, index, input);
                  });
-    const Micros patience = action.may_repeat ? 0 : SchedulerOptions {}.detached_limit;
-    deliver(daemon.index, daemon.incarnation, action.deadline + patience - m_time.now(),
+    const Micros extra_wait = action.may_repeat ? 0 : SchedulerOptions {}.detached_limit;
+    deliver(daemon.index, daemon.incarnation, action.deadline + extra_wait - m_time.now(),
             [this, attempt = action.attempt](Daemon& d) {
                 end_attempt(d, attempt, AttemptStatus::Lost, {});
             });
@@ -65,7 +65,7 @@
 World::act(Daemon& daemon, const CancelAttempt& action)
 {
     daemon.attempts[action.attempt].second = true;
-    // A cancelled call ends some time later; its answer may come before that.
+    // A cancelled call ends some time later; its answer may arrive before that.
     deliver(daemon.index, daemon.incarnation, Micros(m_random() % 200) * kMillisecond,
             [this, attempt = action.attempt](Daemon& d) {
                 end_attempt(d, attempt, AttemptStatus::Lost, {});
@@ -75,13 +75,13 @@
 void
 World::act(Daemon& daemon, const BeginClaim& action)
 {
-    const CallFacts& facts = m_facts.at(action.request);
+    const RequestModel& model = m_request_models.at(action.request);
     ClaimWanted wanted;
     wanted.request = action.request;
-    wanted.key = facts.key;
-    wanted.fingerprint = fast_hash(facts.body);
+    wanted.key = model.key;
+    wanted.fingerprint = fast_hash(model.body);
     for (const UsedKey& used : m_keys)
-        if (used.key == facts.key)
+        if (used.key == model.key)
             wanted.key_time = used.time;
     wanted.deadline = action.deadline;
     deliver(daemon.index, daemon.incarnation, kMillisecond,
@@ -101,7 +101,7 @@
 void
 World::act(Daemon& daemon, const Reply& action)
 {
-    check_reply(daemon, action, m_facts.at(action.request));
+    check_reply(daemon, action, m_request_models.at(action.request));
 }
 
 void
@@ -121,9 +121,9 @@
     daemon.attempts.erase(it);
     if (status == AttemptStatus::Ok && (!cancelled || mutated(Mutation::TrustLateAnswer)))
         daemon.requests.at(request).input = output;
-    daemon.last_ends.emplace_back(attempt, status);
-    if (daemon.last_ends.size() > 4)
-        daemon.last_ends.pop_front();
+    daemon.last_results.emplace_back(attempt, status);
+    if (daemon.last_results.size() > 4)
+        daemon.last_results.pop_front();
     feed(daemon, AttemptEnded {attempt, status});
 }
 
--- a/testsuite/fuzz/world_impl.h
+++ b/testsuite/fuzz/world_impl.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What the parts of the fuzzer's world share.
+/// Definitions that the source files of World share.
 
 #pragma once
 
@@ -16,19 +16,19 @@
 
 namespace cypressford::fuzz {
 
-inline constexpr Micros kTick = 10 * kMillisecond;
-inline constexpr Micros kListLag = 2 * kSecond;
-inline constexpr Micros kLeavingBound = 3 * kSecond;
+inline constexpr Micros kTickInterval = 10 * kMillisecond;
+inline constexpr Micros kListDelay = 2 * kSecond;
+inline constexpr Micros kMaxLeavingDelay = 3 * kSecond;
 inline constexpr Micros kLogTimeout = 2 * kSecond;
 inline constexpr WallMs kEpoch = 1'800'000'000'000;
 inline constexpr int kMaxSkewMs = 1500;
 inline constexpr int kWarmUpCalls = 12;
 
-/// What a stage makes of its input.
+/// The output of a stage for an input.
 std::string output_of(const std::string& stage, const std::string& input);
 /// Names of a pipeline's stages.
 const std::vector<std::string>& stages_of(std::size_t pipeline);
-/// The answer to that body, if every stage ran once.
+/// The answer to a request with this body when each stage runs once.
 std::string expected(std::size_t pipeline, const std::string& body);
 std::string hall_of(std::size_t daemon);
 
@@ -45,7 +45,7 @@
     bool paused = false;
     bool stopping = false;
     int skew_ms = 0;
-    std::deque<std::function<void(Daemon&)>> inbox; ///< what came during a pause
+    std::deque<std::function<void(Daemon&)>> inbox; ///< events that came during a pause
     std::unique_ptr<Router> router;
     std::unique_ptr<Admission> admission;
     std::unique_ptr<UpstreamTable> table;
@@ -54,10 +54,11 @@
     std::unique_ptr<BundleFold> bundles;
     SnapshotPtr snapshot;
     std::map<RequestId, RequestData> requests;
-    std::map<AttemptId, std::pair<RequestId, bool>> attempts; ///< and whether cancelled
-    std::set<std::string> told_leaving;
-    Micros informed_since = -1; ///< reads the list without a break since then
-    std::deque<std::pair<AttemptId, AttemptStatus>> last_ends;
+    std::map<AttemptId, std::pair<RequestId, bool>> attempts; ///< request, and if cancelled
+    std::set<std::string> known_leaving;
+    /// Start of the uninterrupted reads of the node list; -1: they are interrupted.
+    Micros node_list_current_since = -1;
+    std::deque<std::pair<AttemptId, AttemptStatus>> last_results;
 };
 
 } // namespace cypressford::fuzz
--- a/testsuite/fuzz/world_oracle.cpp
+++ b/testsuite/fuzz/world_oracle.cpp
@@ -2,31 +2,31 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What must always hold in the fuzzer's world.
+/// Invariants of the fuzzer's world.
 
 #include "world_impl.h"
 
 namespace cypressford::fuzz {
 
 void
-World::check_reply(Daemon& daemon, const Reply& action, CallFacts& facts)
+World::check_reply(Daemon& daemon, const Reply& action, RequestModel& model)
 {
     ++m_replies;
-    if (++facts.replies > 1)
-        violate("request answered twice");
+    if (++model.replies > 1)
+        report_violation("request answered twice");
     const auto& data = daemon.requests.at(action.request);
     if (!action.error) {
         const std::string answer
             = action.replayed && data.recorded ? data.recorded->body : data.input;
-        if (answer != expected(facts.pipeline, facts.body))
-            violate("wrong or partial answer");
+        if (answer != expected(model.pipeline, model.body))
+            report_violation("wrong or partial answer");
         return;
     }
     if (action.ran != Ran::NotRun)
         return;
-    if (facts.ran)
-        violate("answer says not run of a request that ran");
-    facts.said_not_run = true;
+    if (model.ran)
+        report_violation("request was answered as not run although it ran");
+    model.reported_not_run = true;
 }
 
 void
@@ -34,12 +34,13 @@
 {
     if (!upstream.leaving)
         return;
-    if (daemon.told_leaving.count(upstream.address) > 0)
-        violate("new work for an upstream that is known to be leaving");
-    const bool informed = can_reach_log(daemon) && !m_log.slow && daemon.informed_since >= 0
-        && m_time.now() - daemon.informed_since > kLeavingBound;
-    if (informed && m_time.now() - upstream.leaving_since > kLeavingBound)
-        violate("new work for an upstream that left more than 3 s ago");
+    if (daemon.known_leaving.count(upstream.address) > 0)
+        report_violation("new work was sent to an upstream that is known to be leaving");
+    const bool node_list_current = can_reach_log(daemon) && !m_log.slow
+        && daemon.node_list_current_since >= 0
+        && m_time.now() - daemon.node_list_current_since > kMaxLeavingDelay;
+    if (node_list_current && m_time.now() - upstream.leaving_since > kMaxLeavingDelay)
+        report_violation("new work was sent to an upstream that left more than 3 s ago");
 }
 
 void
@@ -51,48 +52,49 @@
         upstream.behaviour = Behaviour::Good;
     for (std::size_t d = 0; d < kDaemons; ++d)
         resume(d);
-    advance(kLeavingBound + SchedulerOptions {}.detached_limit + 30 * kSecond);
-    for (const auto& [id, facts] : m_facts) {
-        const Daemon& daemon = *m_daemons[facts.daemon];
-        if (daemon.incarnation == facts.incarnation && facts.replies == 0)
-            violate("request " + std::to_string(id) + " was never answered");
+    advance(kMaxLeavingDelay + SchedulerOptions {}.detached_limit + 30 * kSecond);
+    for (const auto& [id, model] : m_request_models) {
+        const Daemon& daemon = *m_daemons[model.daemon];
+        if (daemon.incarnation == model.incarnation && model.replies == 0)
+            report_violation("request " + std::to_string(id) + " was never answered");
     }
     for (const auto& daemon : m_daemons) {
         if (daemon->scheduler->live() != 0)
-            violate("a daemon holds on to ended requests");
+            report_violation("a daemon still holds requests that have ended");
         if (!daemon->claimer->idle())
-            violate("a daemon never gets rid of a claim");
+            report_violation("a daemon has a claim that never ended");
         if (daemon->bundles->in_force_version() != m_newest_version)
-            violate("the newest bundle is not in force everywhere");
+            report_violation("the newest bundle is not in force in every daemon");
     }
     check_free_keys();
 }
 
-/// A key whose callers were all told "not run" must be free to be used.
+/// A key must be free again if all requests with it were answered as not run.
 void
 World::check_free_keys()
 {
-    std::map<std::string, bool> free;
-    for (const auto& [id, facts] : m_facts) {
-        if (facts.key.empty())
+    std::map<std::string, bool> is_free;
+    for (const auto& [id, model] : m_request_models) {
+        if (model.key.empty())
             continue;
-        const bool alive = m_daemons[facts.daemon]->incarnation == facts.incarnation;
-        auto& all = free.try_emplace(facts.key, true).first->second;
-        all = all && alive && facts.said_not_run;
+        const bool alive = m_daemons[model.daemon]->incarnation == model.incarnation;
+        auto& is_key_free = is_free.try_emplace(model.key, true).first->second;
+        is_key_free = is_key_free && alive && model.reported_not_run;
     }
     for (const auto& daemon : m_daemons)
-        for (const auto& [key, expect_free] : free) {
+        for (const auto& [key, expect_free] : is_free) {
             const ClaimLedger& ledger = daemon->claimer->ledger();
             const auto* state = ledger.find(key);
-            // The record that freed the key may be among those that are gone.
+            // The record that released the key may be among the trimmed ones.
             const bool readable = state && state->key_time > ledger.floor();
             if (expect_free && readable && state->claimed)
-                violate("a key that never ran is held for ever: " + key);
+                report_violation("key of a request that never ran was not released: "
+                                 + key);
         }
 }
 
 Micros
-World::transit()
+World::random_delay()
 {
     return 200 + static_cast<Micros>(m_random() % (5 * kMillisecond));
 }
@@ -104,7 +106,7 @@
 }
 
 void
-World::violate(const std::string& what)
+World::report_violation(const std::string& what)
 {
     if (m_violation.empty())
         m_violation = what;
--- a/testsuite/fuzz/world_platform.cpp
+++ b/testsuite/fuzz/world_platform.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform of the fuzzer's world: its log and what daemons read there.
+/// The platform of the fuzzer's world: its log, and the daemons' reads of it.
 
 #include "world_impl.h"
 
@@ -20,22 +20,23 @@
     const std::size_t d = daemon.index;
     const std::uint64_t inc = daemon.incarnation;
     const std::string record = encode(batch);
-    const Micros there = m_log.slow ? Micros(m_random() % 5000) * kMillisecond : transit();
-    const auto tell = [this, d, inc](Micros delay, bool stored) {
+    const Micros delay_there
+        = m_log.slow ? Micros(m_random() % 5000) * kMillisecond : random_delay();
+    const auto report_end = [this, d, inc](Micros delay, bool stored) {
         deliver(d, inc, delay, [this, stored](Daemon& daemon_) {
             feed_claims(daemon_, AppendEnded {stored});
         });
     };
-    // The client gives up at its timeout; the append may take effect after that.
-    const bool in_time = there < kLogTimeout;
+    // The client's call ends at its timeout; the append may take effect after that.
+    const bool in_time = delay_there < kLogTimeout;
     if (!in_time)
-        tell(kLogTimeout, false);
-    m_time.after(there, [this, tell, in_time, record, hall = daemon.hall] {
+        report_end(kLogTimeout, false);
+    m_time.after(delay_there, [this, report_end, in_time, record, hall = daemon.hall] {
         const bool reached = !m_log.outage && m_log.cut_halls.count(hall) == 0;
         if (reached)
             m_log.streams["claims"].records.push_back(record);
         if (in_time)
-            tell(transit(), reached && !m_log.lose_answers);
+            report_end(random_delay(), reached && !m_log.lose_answers);
     });
 }
 
@@ -43,14 +44,14 @@
 World::poll(Daemon& daemon)
 {
     if (!can_reach_log(daemon) || m_log.slow)
-        daemon.informed_since = -1;
-    else if (daemon.informed_since < 0)
-        daemon.informed_since = m_time.now();
+        daemon.node_list_current_since = -1;
+    else if (daemon.node_list_current_since < 0)
+        daemon.node_list_current_since = m_time.now();
     if (!can_reach_log(daemon) || (m_log.slow && m_random() % 50 != 0))
         return;
     read_claims(daemon);
     read_bundles(daemon);
-    read_list(daemon);
+    read_node_list(daemon);
 }
 
 void
@@ -75,11 +76,12 @@
         fold.apply(fold.next(), stream.records[std::size_t(fold.next())]);
     const std::uint64_t after = fold.in_force_version();
     if (after < before)
-        violate("bundle went back from " + std::to_string(before));
+        report_violation("bundle version decreased from " + std::to_string(before));
     if (after == before || !fold.in_force())
         return;
-    if (canonical_json(*fold.in_force()) != m_content[after])
-        violate("daemons differ on bundle " + std::to_string(after));
+    if (canonical_json(*fold.in_force()) != m_bundle_bytes[after])
+        report_violation("daemons have different contents of bundle "
+                         + std::to_string(after));
     daemon.snapshot = daemon.table->build(*fold.in_force());
 }
 
