--- a/testsuite/fuzz/relay_fuzz.cpp
+++ b/testsuite/fuzz/relay_fuzz.cpp
@@ -85,7 +85,7 @@
         std::vector<Micros> sent;
         for (Micros now = 0; now < time; now += gap) {
             const auto daemon = static_cast<std::size_t>(now / gap * 7 % daemons);
-            // The first daemon leads, and each second request gets a grant from it.
+            // The first daemon leads; every second request may get a grant from it.
             const bool granted = now / gap % 2 == 0 && states.front()->take_grant(now);
             if (granted || states[daemon]->take_send(daemons, now))
                 sent.push_back(now);
