--- a/src/httplog.platform/httplog.cpp
+++ b/src/httplog.platform/httplog.cpp
@@ -99,7 +99,7 @@
         request.headers.add("X-Hall", m_settings.hall);
         CallOptions options;
         options.deadline_us = monotonic_us() + m_settings.timeout + extra;
-        options.body = kLargeBody;
+        options.body = kLargeBodyTimeouts;
         const CallResult result
             = co_await m_client->call(std::move(address), std::move(request), options);
         const HttpResponse& response = result.response;
--- a/src/libserve/directory/directory_store.cpp
+++ b/src/libserve/directory/directory_store.cpp
@@ -75,7 +75,7 @@
     CallOptions options;
     const Micros asked_at = monotonic_us();
     options.deadline_us = asked_at + wait_limit;
-    options.body = kLargeBody;
+    options.body = kLargeBodyTimeouts;
     options.send_clock = false;
     const CallResult result = co_await m_client.call(m_kernel.reloaded.load()->platform.log,
                                                      std::move(request), options);
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -51,7 +51,7 @@
     CallOptions options;
     options.connect_deadline_us = now + connect_limit;
     options.deadline_us = now + answer_limit;
-    options.body = kLargeBody;
+    options.body = kLargeBodyTimeouts;
     options.send_clock = false;
     return options;
 }
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -170,7 +170,7 @@
                           const std::string& account) const;
     /// A call ended without its whole answer.
     void note_lost(const SendAttempt& send, const RequestContext& context,
-                   bool closed_there) const;
+                   bool closed_by_peer) const;
 
     // worker.cpp: events and actions.
     void feed(const Event& event);
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -394,7 +394,7 @@
         return is_quarantined(call) ? AttemptStatus::Quarantined : AttemptStatus::Withheld;
     if (result.status == CallStatus::Lost) {
         if (!call.handle->cancelled())
-            note_lost(call.send, *call.context, result.closed_there);
+            note_lost(call.send, *call.context, result.closed_by_peer);
         return AttemptStatus::Lost;
     }
     if (answer.input_gone)
--- a/src/libserve/relay/suspicion.cpp
+++ b/src/libserve/relay/suspicion.cpp
@@ -71,7 +71,7 @@
 
 void
 Worker::note_lost(const SendAttempt& send, const RequestContext& context,
-                  bool closed_there) const
+                  bool closed_by_peer) const
 {
     const Relay& relay = *context.relay;
     const RequestDigest digest = digest_of(relay.request, relay.call, context.account);
@@ -80,10 +80,10 @@
         .kv("request", context.log_id())
         .kv("identity", send.upstream->identity)
         .kv("digest", to_text(digest))
-        .kv("closed_there", closed_there)
+        .kv("closed_there", closed_by_peer)
         .kv("leaving", leaving);
     // One that leaves ends as planned, whatever runs there.
-    if (closed_there && !leaving && m_kernel.ends)
+    if (closed_by_peer && !leaving && m_kernel.ends)
         m_kernel.ends->note({{send.upstream->identity, send.upstream->born},
                              send.upstream->address,
                              context.log_id(),
--- a/src/libutil/boot_clock.h
+++ b/src/libutil/boot_clock.h
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Time that goes on while the node is suspended.
+/// A clock that includes the time during which the node is suspended.
 ///
-/// The steady clock of the standard library stands still then: a lease, a deadline or the
-/// age of what was read would be as fresh after a minute of suspension as before it.
+/// std::chrono::steady_clock stops during suspension: after a minute of suspension a lease,
+/// a deadline or the age of a value that was read would look as fresh as before it.
 
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace cypressford {
 
-/// Time since the node's start, with the time it was suspended (CLOCK_BOOTTIME).
+/// Time since the node was started, including time in suspension (CLOCK_BOOTTIME).
 struct BootClock {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -27,16 +27,17 @@
 
     static time_point now();
 
-    /// For tests: as if the node had been suspended for so long just now.
+    /// For tests: advances the clock by `time`, as a suspension of the node would.
     static void suspend_for_test(duration time);
 
 private:
     static std::atomic<rep> s_suspended_in_test;
 };
 
-/// A timer over it.  The kernel's timer behind all timers of an io_context stands still in
-/// a suspension: a wait that ends meanwhile ends when the shortest wait of that io_context
-/// at the time would have ended without it: within 50 ms on threads that take requests.
+/// A timer on BootClock.  The kernel timer behind all timers of an io_context stops during
+/// suspension.  A wait that expires in a suspension therefore completes when the shortest
+/// wait then pending on that io_context completes, which is within 50 ms on threads that
+/// handle requests.
 using BootTimer = boost::asio::basic_waitable_timer<BootClock>;
 
 } // namespace cypressford
--- a/src/libutil/boot_clock_test.cpp
+++ b/src/libutil/boot_clock_test.cpp
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A node that is suspended for seconds.  By a clock that stands still meanwhile, a
-/// deadline that is over holds on for as long, and what waited is sent though nobody wants
-/// it.
+/// A node that is suspended for seconds.  With a clock that stops during suspension, an
+/// expired deadline would stay in force for the length of the suspension, and queued
+/// requests would be sent although their callers no longer wait.
 
 #include "boot_clock.h"
 
@@ -25,9 +25,9 @@
 using asio::ip::tcp;
 
 constexpr std::chrono::seconds kSuspension {40};
-constexpr std::chrono::milliseconds kTick {5}; ///< of some other timer of the io_context
+constexpr std::chrono::milliseconds kTick {5}; ///< period of another timer
 
-/// Keeps the io_context looking at its timers, as each of a daemon's does.
+/// Makes the io_context check its timers regularly, as the timers of a daemon do.
 asio::awaitable<void>
 tick(asio::io_context& io)
 {
@@ -38,7 +38,7 @@
     }
 }
 
-TEST_CASE("time goes on while the node is suspended")
+TEST_CASE("the clock advances while the node is suspended")
 {
     const std::int64_t before = monotonic_us();
     BootClock::suspend_for_test(kSuspension);
@@ -47,7 +47,7 @@
     CHECK(passed < kSuspension + std::chrono::seconds(20));
 }
 
-TEST_CASE("a timer that ends in a suspension ends when the shortest one does")
+TEST_CASE("a timer that expires in a suspension completes with the shortest timer after it")
 {
     asio::io_context io;
     asio::co_spawn(io, tick(io), asio::detached);
@@ -65,11 +65,11 @@
     CHECK(ended);
 }
 
-TEST_CASE("a call whose deadline passes in a suspension ends after it")
+TEST_CASE("a call whose deadline passes in a suspension ends after the suspension")
 {
     asio::io_context io;
     asio::co_spawn(io, tick(io), asio::detached);
-    // Takes the connection and says nothing.
+    // Accepts the connection at the TCP level and never answers.
     tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
     HttpClient client(io);
     CallResult result;
@@ -93,7 +93,7 @@
     io.run_for(std::chrono::seconds(20));
     CHECK(ended);
     CHECK(result.status == CallStatus::Lost);
-    CHECK_FALSE(result.closed_there);
+    CHECK_FALSE(result.closed_by_peer);
 }
 
 } // namespace
--- a/src/libutil/crypto.cpp
+++ b/src/libutil/crypto.cpp
@@ -113,7 +113,7 @@
     if (size < 0)
         return {};
     out.resize(static_cast<std::size_t>(size) - padding);
-    // One text only for each value: spare bits must be zero.
+    // Each value has exactly one encoding: the unused bits must be zero.
     return to_base64url(out) == text ? out : std::string {};
 }
 
@@ -165,7 +165,7 @@
 std::string
 MacKey::mac(std::string_view bytes) const
 {
-    // A copy of the prepared state, which is only read and so needs no lock.
+    // Copies the prepared state.  That state is never written, so no lock is needed.
     const std::unique_ptr<EVP_MAC_CTX, FreeMacContext> context(
         EVP_MAC_CTX_dup(m_context->prepared.get()));
     std::string out(kKeyBytes, '\0');
@@ -188,7 +188,7 @@
     std::string out(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char*>(out.data()), static_cast<int>(count))
         != 1)
-        std::abort(); // without randomness neither ids nor keys are unique
+        std::abort(); // without random numbers neither ids nor keys would be unique
     return out;
 }
 
@@ -211,7 +211,7 @@
         || PEM_write_bio_PrivateKey(bio.get(), key.get(), nullptr, nullptr, 0, nullptr,
                                     nullptr)
             != 1)
-        return fail(ErrorKind::Internal, "no Ed25519 key could be made");
+        return fail(ErrorKind::Internal, "could not generate an Ed25519 key");
     char* data = nullptr;
     const long size = BIO_get_mem_data(bio.get(), &data);
     KeyPair pair;
--- a/src/libutil/crypto.h
+++ b/src/libutil/crypto.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The little of OpenSSL that the project needs, behind plain functions.
+/// The part of OpenSSL that the project uses, behind plain functions.
 
 #pragma once
 
@@ -16,16 +16,16 @@
 namespace cypressford {
 
 std::string to_hex(std::string_view bytes);
-/// Empty for text that is no hex.
+/// Empty if the text is not valid hex.
 std::string from_hex(std::string_view text);
 std::string to_base64url(std::string_view bytes);
-/// Empty for text that is no unpadded base64url.
+/// Empty if the text is not valid unpadded base64url.
 std::string from_base64url(std::string_view text);
 
 std::string sha256(std::string_view bytes);
 std::string hmac_sha256(std::string_view key, std::string_view bytes);
-/// A key for HMAC-SHA-256 that is set up once: a message then costs its hashing
-/// alone.  May be used by several threads at a time.
+/// A key for HMAC-SHA-256 whose setup is done once, so that a message costs only its
+/// hashing.  Thread-safe.
 class MacKey {
 public:
     explicit MacKey(std::string_view key);
@@ -43,7 +43,7 @@
 /// Compares in constant time.
 bool equal_secret(std::string_view a, std::string_view b);
 
-/// `count` bytes from the system's generator.
+/// `count` bytes from OpenSSL's random generator; aborts the process if it fails.
 std::string random_bytes(std::size_t count);
 std::uint64_t random_u64();
 
@@ -54,14 +54,14 @@
 };
 
 Result<KeyPair> make_key_pair();
-/// The public half of a private key, hex.
+/// The public key of a private key, in hex.
 Result<std::string> public_key_of(std::string_view private_pem);
-/// An Ed25519 signature, hex.
+/// An Ed25519 signature, in hex.
 Result<std::string> sign(std::string_view private_pem, std::string_view bytes);
 bool verify(std::string_view public_hex, std::string_view bytes,
             std::string_view signature_hex);
 
-/// XXH3, for hashes that no adversary matters to.
+/// XXH3, which is not cryptographic: only for hashes that need not resist an adversary.
 std::uint64_t fast_hash(std::string_view bytes, std::uint64_t seed = 0);
 
 } // namespace cypressford
--- a/src/libutil/error.cpp
+++ b/src/libutil/error.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// gRPC status codes by number, so that this library needs no gRPC header.
+// gRPC status codes by number, so that this library does not depend on gRPC headers.
 enum GrpcCode : int {
     kCancelled = 1,
     kUnknown = 2,
--- a/src/libutil/event_log.cpp
+++ b/src/libutil/event_log.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-/// Writes lines to a descriptor, never more than a bound in a second and never
-/// waiting for a reader: what can't be written now is counted, and the count is
-/// told with the next line that can.
+/// Writes lines to a descriptor, at most a fixed number per second and without ever
+/// blocking on a slow reader.  Lines that can't be written at once are dropped and counted;
+/// the next line that is written is preceded by the count.
 class BoundedAppender final : public log4cplus::Appender {
 public:
     BoundedAppender(int descriptor, int lines_per_s)
@@ -43,7 +43,7 @@
 protected:
     void append(const log4cplus::spi::InternalLoggingEvent& event) override
     {
-        if (!take_turn() || !is_writable()) {
+        if (!reserve_line() || !is_writable()) {
             ++m_dropped;
             return;
         }
@@ -58,13 +58,13 @@
     }
 
 private:
-    /// One more line in this second?
-    bool take_turn()
+    /// Counts a line; true if it is within the limit for the current second.
+    bool reserve_line()
     {
         constexpr std::int64_t second = 1'000'000;
         const std::int64_t now = monotonic_us();
-        if (now - m_second_began >= second) {
-            m_second_began = now;
+        if (now - m_second_started_us >= second) {
+            m_second_started_us = now;
             m_lines = 0;
         }
         return m_lines++ < m_lines_per_s;
@@ -78,7 +78,7 @@
 
     const int m_descriptor;
     const int m_lines_per_s;
-    std::int64_t m_second_began = 0;
+    std::int64_t m_second_started_us = 0;
     int m_lines = 0;
     std::uint64_t m_dropped = 0;
 };
@@ -86,7 +86,7 @@
 struct OpenLog {
     log4cplus::Initializer initializer;
     log4cplus::Logger logger = log4cplus::Logger::getRoot();
-    std::string prefix; ///< hall and node
+    std::string prefix; ///< hall and node, as key=value pairs
 };
 
 std::unique_ptr<OpenLog> s_log;
@@ -123,7 +123,7 @@
     return "info";
 }
 
-/// Bytes that others wrote, like keys of records, may hold any.
+/// Control characters may occur in values from other processes, such as record keys.
 bool
 is_control(char c)
 {
--- a/src/libutil/event_log.h
+++ b/src/libutil/event_log.h
@@ -14,21 +14,22 @@
 
 enum class LogLevel : unsigned char { Debug, Info, Warn, Error };
 
-/// Who is logging; stands in every line.
+/// Origin of the log lines; written in every line.
 struct LogIdentity {
     std::string hall;
     std::string node;
 };
 
-/// Lines that a process writes in a second at most, unless settings say otherwise.
+/// Default for the maximum number of lines that a process writes per second.
 inline constexpr int kLogLinesPerSecond = 1000;
 
-/// Opens the log.  An empty path logs to standard output.  Lines beyond the bound,
-/// or that nobody reads, are dropped and counted; logging never waits.
+/// Opens the log.  An empty path logs to standard output.  Lines above `lines_per_s`, and
+/// lines that the descriptor can't accept at once, are dropped and counted; logging never
+/// blocks.
 void open_log(const LogIdentity& identity, const std::string& path, LogLevel level,
               int lines_per_s = kLogLinesPerSecond);
 
-/// Writes out and closes the log.
+/// Flushes and closes the log.
 void close_log();
 
 /// Collects one event and writes it when it goes out of scope:
--- a/src/libutil/http_client.cpp
+++ b/src/libutil/http_client.cpp
@@ -30,10 +30,10 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kMaxIdle = 64; ///< kept connections to one address
-constexpr std::size_t kMaxAnswer = 8 * 1024 * 1024; ///< bytes
-constexpr std::size_t kChunk = 8 * 1024; ///< bytes
-/// Bytes that stay unacknowledged this long end a connection.
+constexpr std::size_t kMaxIdlePerAddress = 64; ///< connections
+constexpr std::size_t kMaxAnswerBytes = 8 * 1024 * 1024;
+constexpr std::size_t kChunkBytes = 8 * 1024;
+/// TCP_USER_TIMEOUT: data that stays unacknowledged for this time aborts the connection.
 constexpr int kUserTimeoutMs = 3000;
 
 constexpr std::string_view kTimeoutField = "timeout=";
@@ -76,7 +76,7 @@
     return response;
 }
 
-/// True for an error that only the far side's close or reset of the connection gives.
+/// True for an error that occurs only if the remote side closes or resets the connection.
 bool
 is_close(const boost::system::error_code& ec)
 {
@@ -101,7 +101,7 @@
         return "open";
     case PortState::Refused:
         return "refused";
-    case PortState::Silent:
+    case PortState::Unresponsive:
         break;
     }
     return "silent";
@@ -112,7 +112,7 @@
 {
     const Address parsed = parse_address(address);
     if (parsed.ip.empty())
-        co_return PortState::Silent;
+        co_return PortState::Unresponsive;
     const tcp::endpoint endpoint(asio::ip::make_address(parsed.ip), parsed.port);
     tcp::socket socket(io);
     SocketWatchdog watchdog(socket, SocketWatchdog::Action::Close);
@@ -122,7 +122,7 @@
         co_return PortState::Open;
     const bool refused
         = ec == asio::error::connection_refused || ec == asio::error::connection_reset;
-    co_return refused ? PortState::Refused : PortState::Silent;
+    co_return refused ? PortState::Refused : PortState::Unresponsive;
 }
 
 class HttpClient::Connection {
@@ -158,18 +158,18 @@
         m_socket.close(ignored);
     }
     bool reusable() const { return m_reusable; }
-    void note_rest() { m_rests_since = monotonic_us(); }
-    /// True if it may still be used, going by how long it has rested.
+    void mark_idle() { m_idle_since_us = monotonic_us(); }
+    /// True if neither the idle limit of the call nor the remote keep-alive has expired.
     bool is_fresh(const CallOptions& options) const
     {
         const std::int64_t now = monotonic_us();
-        const bool in_time
-            = options.max_idle_us == 0 || now - m_rests_since <= options.max_idle_us;
-        return in_time && (m_keep_until == 0 || now < m_keep_until);
+        const bool within_limit
+            = options.max_idle_us == 0 || now - m_idle_since_us <= options.max_idle_us;
+        return within_limit && (m_keep_until_us == 0 || now < m_keep_until_us);
     }
     bool got_bytes() const { return m_got_bytes; }
 
-    /// True if the far side has closed a kept connection.
+    /// True if the remote side has closed an idle connection.
     bool is_stale()
     {
         boost::system::error_code ec;
@@ -192,7 +192,7 @@
         if (write_error)
             co_return lost(write_error);
         http::response_parser<http::buffer_body> parser;
-        parser.body_limit(kMaxAnswer);
+        parser.body_limit(kMaxAnswerBytes);
         auto [ec, read]
             = co_await http::async_read_header(m_socket, m_buffer, parser, kToTuple);
         m_got_bytes = m_buffer.size() > 0 || parser.got_some();
@@ -206,18 +206,18 @@
         if (options.on_head && result.response.status == 200)
             options.on_head(result.response);
         const auto body_error = co_await read_body(parser, options, result.response);
-        result.closed_there = is_close(body_error);
+        result.closed_by_peer = is_close(body_error);
         if (!body_error) {
             result.status = CallStatus::Answered;
-            // Bytes behind a whole answer belong to nothing that was asked.
+            // Bytes after a complete answer belong to no request of this client.
             m_reusable = parser.keep_alive() && m_buffer.size() == 0;
-            m_keep_until = keep_until(result.response);
+            m_keep_until_us = keep_until(result.response);
         }
         co_return result;
     }
 
 private:
-    /// Until when the far side keeps the connection, with a margin; 0: not told.
+    /// End of the remote side's announced keep-alive, with a margin; 0: not announced.
     static std::int64_t keep_until(const HttpResponse& response)
     {
         const std::string_view text = response.headers.get("Keep-Alive");
@@ -234,7 +234,7 @@
     read_body(http::response_parser<http::buffer_body>& parser, const CallOptions& options,
               HttpResponse& response)
     {
-        std::array<char, kChunk> chunk {};
+        std::array<char, kChunkBytes> chunk {};
         const std::int64_t until = monotonic_us() + options.body.limit_us;
         while (!parser.is_done()) {
             if (options.body.gap_us > 0)
@@ -262,8 +262,8 @@
     bool m_reusable = false;
     bool m_got_bytes = false;
     std::int64_t m_connected_us = 0;
-    std::int64_t m_rests_since = 0;
-    std::int64_t m_keep_until = 0; ///< 0: not told
+    std::int64_t m_idle_since_us = 0;
+    std::int64_t m_keep_until_us = 0; ///< 0: not announced
 };
 
 HttpClient::HttpClient(asio::io_context& io)
@@ -282,19 +282,19 @@
     if (!options.handle)
         options.handle = std::make_shared<CallHandle>();
     if (!options.fresh_connection) {
-        if (auto kept = take_idle(address, options)) {
-            CallResult result = co_await attempt(*kept, request, options);
-            const bool is_silent = result.status == CallStatus::Lost && !kept->got_bytes()
-                && !options.handle->cancelled();
-            // What silenced this connection may have silenced all that are as old: with 64
-            // kept, each would cost a call its whole time.
-            if (is_silent)
+        if (auto idle = take_idle(address, options)) {
+            CallResult result = co_await attempt(*idle, request, options);
+            const bool is_unresponsive = result.status == CallStatus::Lost
+                && !idle->got_bytes() && !options.handle->cancelled();
+            // The other idle connections to the address may be dead for the same reason:
+            // with 64 of them, each could cost a later call its whole deadline.
+            if (is_unresponsive)
                 m_idle.erase(address);
             const bool stale = options.resend_if_stale && result.status == CallStatus::Lost
-                && !kept->got_bytes() && !options.handle->cancelled()
+                && !idle->got_bytes() && !options.handle->cancelled()
                 && monotonic_us() < options.deadline_us;
             if (!stale) {
-                keep(address, std::move(kept));
+                store_if_reusable(address, std::move(idle));
                 co_return result;
             }
         }
@@ -309,7 +309,7 @@
     if (!connected || options.handle->cancelled())
         co_return CallResult {};
     CallResult result = co_await attempt(*connection, request, options);
-    keep(address, std::move(connection));
+    store_if_reusable(address, std::move(connection));
     co_return result;
 }
 
@@ -342,12 +342,13 @@
 }
 
 void
-HttpClient::keep(const std::string& address, std::unique_ptr<Connection> connection)
+HttpClient::store_if_reusable(const std::string& address,
+                              std::unique_ptr<Connection> connection)
 {
     auto& idle = m_idle[address];
-    if (!connection->reusable() || idle.size() >= kMaxIdle)
+    if (!connection->reusable() || idle.size() >= kMaxIdlePerAddress)
         return;
-    connection->note_rest();
+    connection->mark_idle();
     idle.push_back(std::move(connection));
 }
 
--- a/src/libutil/http_client_test.cpp
+++ b/src/libutil/http_client_test.cpp
@@ -20,19 +20,19 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-constexpr std::int64_t kMs = 1000; ///< microseconds
-constexpr std::int64_t kLong = 60'000 * kMs;
-constexpr int kPieces = 20;
+constexpr std::int64_t kUsPerMs = 1000;
+constexpr std::int64_t kLongUs = 60'000 * kUsPerMs; ///< longer than any test case
+constexpr int kBodyBytes = 20;
 
-/// Takes one connection and answers its request with kPieces bytes, a pause before each
-/// but the first `at_once`.
-class SlowSender {
+/// Accepts one connection and answers its request with kBodyBytes bytes, with a pause
+/// before each byte except the first `bytes_at_once`.
+class SlowServer {
 public:
-    SlowSender(asio::io_context& io, std::chrono::milliseconds pause, int at_once)
+    SlowServer(asio::io_context& io, std::chrono::milliseconds pause, int bytes_at_once)
         : m_acceptor(io, {asio::ip::make_address("127.0.0.1"), 0})
         , m_timer(io)
         , m_pause(pause)
-        , m_at_once(at_once)
+        , m_bytes_at_once(bytes_at_once)
     {
         asio::co_spawn(io, serve(), asio::detached);
     }
@@ -46,11 +46,11 @@
     asio::awaitable<void> serve()
     {
         tcp::socket socket = co_await m_acceptor.async_accept(asio::use_awaitable);
-        const std::string head
-            = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kPieces) + "\r\n\r\n";
+        const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: "
+            + std::to_string(kBodyBytes) + "\r\n\r\n";
         co_await asio::async_write(socket, asio::buffer(head), asio::use_awaitable);
-        for (int piece = 0; piece < kPieces; ++piece) {
-            if (piece >= m_at_once) {
+        for (int i = 0; i < kBodyBytes; ++i) {
+            if (i >= m_bytes_at_once) {
                 m_timer.expires_after(m_pause);
                 co_await m_timer.async_wait(asio::use_awaitable);
             }
@@ -61,21 +61,21 @@
     tcp::acceptor m_acceptor;
     asio::steady_timer m_timer;
     const std::chrono::milliseconds m_pause;
-    const int m_at_once;
+    const int m_bytes_at_once;
 };
 
 CallResult
-call(std::chrono::milliseconds pause, int at_once, const CallOptions& options)
+call(std::chrono::milliseconds pause, int bytes_at_once, const CallOptions& options)
 {
     asio::io_context io;
-    SlowSender sender(io, pause, at_once);
+    SlowServer server(io, pause, bytes_at_once);
     HttpClient client(io);
     CallResult result;
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
             HttpRequest request;
-            result = co_await client.call(sender.address(), std::move(request), options);
+            result = co_await client.call(server.address(), std::move(request), options);
             io.stop();
         },
         asio::detached);
@@ -84,7 +84,7 @@
 }
 
 CallOptions
-patient(std::int64_t deadline, BodyPatience body)
+with_timeouts(std::int64_t deadline, BodyTimeouts body)
 {
     CallOptions options;
     options.deadline_us = monotonic_us() + deadline;
@@ -92,44 +92,44 @@
     return options;
 }
 
-TEST_CASE("a body whose bytes keep coming outlasts the call's deadline")
+TEST_CASE("a body whose bytes keep arriving may outlast the call's deadline")
 {
-    // The body takes four times the deadline at least.
-    const auto result
-        = call(std::chrono::milliseconds(100), 0, patient(500 * kMs, {kLong, kLong}));
+    // The body takes at least four times the deadline.
+    const auto result = call(std::chrono::milliseconds(100), 0,
+                             with_timeouts(500 * kUsPerMs, {kLongUs, kLongUs}));
     CHECK(result.status == CallStatus::Answered);
-    CHECK(result.response.body.size() == kPieces);
+    CHECK(result.response.body.size() == kBodyBytes);
 }
 
-TEST_CASE("without patience for the body the deadline holds for all of it")
+TEST_CASE("without body timeouts the deadline covers the whole body")
 {
-    const auto result
-        = call(std::chrono::milliseconds(100), 0, patient(500 * kMs, BodyPatience {}));
+    const auto result = call(std::chrono::milliseconds(100), 0,
+                             with_timeouts(500 * kUsPerMs, BodyTimeouts {}));
     CHECK(result.status == CallStatus::Lost);
-    CHECK(result.response.body.size() < kPieces);
+    CHECK(result.response.body.size() < kBodyBytes);
 }
 
-TEST_CASE("a body that stops ends the call, with what came")
+TEST_CASE("a body that stalls ends the call and leaves the received part")
 {
-    const auto result = call(std::chrono::milliseconds(kLong / kMs), 7,
-                             patient(kLong, {200 * kMs, kLong}));
+    const auto result = call(std::chrono::milliseconds(kLongUs / kUsPerMs), 7,
+                             with_timeouts(kLongUs, {200 * kUsPerMs, kLongUs}));
     CHECK(result.status == CallStatus::Lost);
     CHECK(result.response.body.size() == 7);
 }
 
-TEST_CASE("a body that comes a byte now and then ends at its limit")
+TEST_CASE("a body that arrives byte by byte ends at its overall limit")
 {
-    const auto result
-        = call(std::chrono::milliseconds(100), 0, patient(kLong, {kLong, 500 * kMs}));
+    const auto result = call(std::chrono::milliseconds(100), 0,
+                             with_timeouts(kLongUs, {kLongUs, 500 * kUsPerMs}));
     CHECK(result.status == CallStatus::Lost);
-    CHECK(result.response.body.size() < kPieces);
+    CHECK(result.response.body.size() < kBodyBytes);
 }
 
-/// Answers each request at once, but nothing more on connections that were open when it
-/// went silent.
-class GoesSilent {
+/// Answers each request at once, until stall_open_connections(): after it, no request on a
+/// connection that was open before is answered.
+class StallingServer {
 public:
-    explicit GoesSilent(asio::io_context& io)
+    explicit StallingServer(asio::io_context& io)
         : m_io(io)
         , m_acceptor(io, {asio::ip::make_address("127.0.0.1"), 0})
     {
@@ -140,7 +140,7 @@
     {
         return "127.0.0.1:" + std::to_string(m_acceptor.local_endpoint().port());
     }
-    void go_silent() { ++m_age; }
+    void stall_open_connections() { ++m_generation; }
     int accepted() const { return m_accepted; }
 
 private:
@@ -155,14 +155,14 @@
 
     asio::awaitable<void> serve(tcp::socket socket)
     {
-        const int age = m_age;
+        const int generation = m_generation;
         std::string bytes(4096, ' ');
         for (;;) {
             auto [ec, size] = co_await socket.async_read_some(
                 asio::buffer(bytes), asio::as_tuple(asio::use_awaitable));
             if (ec)
                 co_return;
-            if (age == m_age)
+            if (generation == m_generation)
                 co_await asio::async_write(
                     socket,
                     asio::buffer(
@@ -173,51 +173,51 @@
 
     asio::io_context& m_io;
     tcp::acceptor m_acceptor;
-    int m_age = 0;
+    int m_generation = 0;
     int m_accepted = 0;
 };
 
-TEST_CASE("one silent connection is enough to leave all that were kept to the address")
+TEST_CASE("one unresponsive connection closes all idle connections to the address")
 {
     asio::io_context io;
-    GoesSilent server(io);
+    StallingServer server(io);
     HttpClient client(io);
-    const auto ask = [&]() -> asio::awaitable<CallResult> {
+    const auto call_server = [&]() -> asio::awaitable<CallResult> {
         HttpRequest request;
         CallOptions options;
-        options.deadline_us = monotonic_us() + 300 * kMs;
+        options.deadline_us = monotonic_us() + 300 * kUsPerMs;
         co_return co_await client.call(server.address(), std::move(request), options);
     };
-    constexpr int kept = 5;
+    constexpr int kIdleConnections = 5;
     int answered = 0;
     CallResult first;
     CallResult second;
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            for (int i = 0; i < kept; ++i)
-                asio::co_spawn(io, ask(),
+            for (int i = 0; i < kIdleConnections; ++i)
+                asio::co_spawn(io, call_server(),
                                [&](const std::exception_ptr&, const CallResult& r) {
                                    answered += r.status == CallStatus::Answered ? 1 : 0;
                                });
             asio::steady_timer timer(io);
-            while (answered < kept) {
+            while (answered < kIdleConnections) {
                 timer.expires_after(std::chrono::milliseconds(1));
                 co_await timer.async_wait(asio::use_awaitable);
             }
-            server.go_silent();
-            first = co_await ask();
-            second = co_await ask();
+            server.stall_open_connections();
+            first = co_await call_server();
+            second = co_await call_server();
             io.stop();
         },
         asio::detached);
     io.run();
-    CHECK(server.accepted() == kept + 1);
+    CHECK(server.accepted() == kIdleConnections + 1);
     CHECK(first.status == CallStatus::Lost);
     CHECK(second.status == CallStatus::Answered);
 }
 
-/// Takes one connection, reads the request and closes, after `bytes` of an answer.
+/// Calls a server that accepts one connection, reads the request and closes after `bytes`.
 CallResult
 call_closed_after(std::string_view bytes)
 {
@@ -241,7 +241,7 @@
         [&]() -> asio::awaitable<void> {
             HttpRequest request;
             result = co_await client.call(address, std::move(request),
-                                          patient(kLong, {kLong, kLong}));
+                                          with_timeouts(kLongUs, {kLongUs, kLongUs}));
             io.stop();
         },
         asio::detached);
@@ -249,40 +249,40 @@
     return result;
 }
 
-TEST_CASE("a call tells a close of the far side from its own limit")
+TEST_CASE("a call distinguishes a close by the remote side from its own limit")
 {
     for (const std::string_view bytes :
          {"", "HTTP/1.1 200 OK\r\nContent-",
           "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab"}) {
         const CallResult result = call_closed_after(bytes);
         CHECK(result.status == CallStatus::Lost);
-        CHECK(result.closed_there);
+        CHECK(result.closed_by_peer);
     }
     const CallResult garbled = call_closed_after("this is no answer\r\n\r\n");
     CHECK(garbled.status == CallStatus::Lost);
-    CHECK_FALSE(garbled.closed_there);
-    const CallResult slow
-        = call(std::chrono::milliseconds(100), 0, patient(300 * kMs, BodyPatience {}));
+    CHECK_FALSE(garbled.closed_by_peer);
+    const CallResult slow = call(std::chrono::milliseconds(100), 0,
+                                 with_timeouts(300 * kUsPerMs, BodyTimeouts {}));
     CHECK(slow.status == CallStatus::Lost);
-    CHECK_FALSE(slow.closed_there);
+    CHECK_FALSE(slow.closed_by_peer);
 }
 
 PortState
 probe(const std::string& address)
 {
     asio::io_context io;
-    PortState state = PortState::Silent;
+    PortState state = PortState::Unresponsive;
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            state = co_await probe_port(io, address, monotonic_us() + kLong);
+            state = co_await probe_port(io, address, monotonic_us() + kLongUs);
         },
         asio::detached);
     io.run();
     return state;
 }
 
-TEST_CASE("a probe tells a port where somebody listens from one where nobody does")
+TEST_CASE("a probe distinguishes an open port from a refused one")
 {
     asio::io_context io;
     auto acceptor = std::make_unique<tcp::acceptor>(
@@ -292,7 +292,7 @@
     CHECK(probe(address) == PortState::Open);
     acceptor.reset();
     CHECK(probe(address) == PortState::Refused);
-    CHECK(probe("no address") == PortState::Silent);
+    CHECK(probe("no address") == PortState::Unresponsive);
 }
 
 } // namespace
--- a/src/libutil/http_server.cpp
+++ b/src/libutil/http_server.cpp
@@ -27,8 +27,8 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr int kBacklog = 1024;
-/// Accepting goes on this long after a failure such as too many open files.
-constexpr std::chrono::milliseconds kAcceptPause {10};
+/// Delay before accepting again after a failure such as too many open files.
+constexpr std::chrono::milliseconds kAcceptRetryDelay {10};
 
 using ReusePort = asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
@@ -44,7 +44,7 @@
     return request;
 }
 
-/// One connection with the request that is being answered on it.
+/// One connection with the request that is being handled on it.
 class Connection final : public HttpExchange {
 public:
     Connection(tcp::socket socket, const HttpLimits& limits)
@@ -65,7 +65,7 @@
         http::response_serializer<http::string_body> serializer(message);
         SocketWatchdog watchdog(m_socket, SocketWatchdog::Action::Cancel);
         boost::system::error_code ec;
-        // The limit is for progress: a large answer may take longer on a thin link.
+        // The limit applies to progress: a large answer may take longer on a slow link.
         while (!ec && !serializer.is_done()) {
             watchdog.arm(m_limits.write_time);
             std::size_t size = 0;
@@ -115,36 +115,37 @@
 
     void drop() override { m_keep_alive = false; }
 
-    void watch(std::function<void()> gone) override
+    void watch(std::function<void()> on_disconnect) override
     {
-        m_gone = std::make_shared<std::function<void()>>(std::move(gone));
-        m_socket.async_wait(tcp::socket::wait_read, [this, gone = m_gone](auto ec) {
-            if (ec || !*gone)
-                return;
-            char byte = 0;
-            boost::system::error_code peek;
-            m_socket.non_blocking(true, peek);
-            m_socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, peek);
-            // Bytes are the beginning of the next request; no byte is the end.
-            if (peek && peek != asio::error::would_block)
-                std::exchange(*gone, nullptr)();
-        });
+        m_on_disconnect = std::make_shared<std::function<void()>>(std::move(on_disconnect));
+        m_socket.async_wait(
+            tcp::socket::wait_read, [this, callback = m_on_disconnect](auto ec) {
+                if (ec || !*callback)
+                    return;
+                char byte = 0;
+                boost::system::error_code peek;
+                m_socket.non_blocking(true, peek);
+                m_socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, peek);
+                // Available bytes start the next request; end of stream means a disconnect.
+                if (peek && peek != asio::error::would_block)
+                    std::exchange(*callback, nullptr)();
+            });
     }
 
-    /// The handler is through with the request.
-    void end_watch()
+    /// Stops watching for a disconnect once the handler has returned.
+    void stop_watching()
     {
-        if (!m_gone)
+        if (!m_on_disconnect)
             return;
-        *m_gone = nullptr;
-        m_gone.reset();
+        *m_on_disconnect = nullptr;
+        m_on_disconnect.reset();
         boost::system::error_code ignored;
         m_socket.cancel(ignored);
     }
 
     enum class ReadResult : unsigned char { Ok, Closed, Refused };
 
-    /// Reads the next request.  Refused leaves the kind in refusal().
+    /// Reads the next request.  For Refused, refusal() returns the kind of error.
     asio::awaitable<ReadResult> read()
     {
         http::request_parser<http::string_body> parser;
@@ -220,13 +221,13 @@
     }
 
     tcp::socket m_socket;
-    const HttpLimits& m_limits; ///< the server's, which may change
+    const HttpLimits& m_limits; ///< owned by the server, which may change them
     beast::flat_buffer m_buffer;
     HttpRequest m_request;
     ErrorKind m_refusal = ErrorKind::BadRequest;
     bool m_keep_alive = true;
     bool m_idle = false;
-    std::shared_ptr<std::function<void()>> m_gone; ///< empty once it was called
+    std::shared_ptr<std::function<void()>> m_on_disconnect; ///< empty once called
 };
 
 } // namespace
@@ -252,7 +253,7 @@
             }
             if (ec == asio::error::operation_aborted)
                 break;
-            BootTimer pause(io, kAcceptPause);
+            BootTimer pause(io, kAcceptRetryDelay);
             co_await pause.async_wait(kToTuple);
         }
     }
@@ -291,7 +292,7 @@
             if (closing)
                 connection.set_close();
             co_await handler(connection);
-            connection.end_watch();
+            connection.stop_watching();
             if (closing)
                 connection.set_close();
         }
--- a/src/libutil/http_server_test.cpp
+++ b/src/libutil/http_server_test.cpp
@@ -24,10 +24,10 @@
 using asio::ip::tcp;
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::size_t kBody = 48 * 1024 * 1024; ///< more than sockets buffer
-constexpr std::size_t kStep = 1024 * 1024;
+constexpr std::size_t kBodyBytes = 48 * 1024 * 1024; ///< more than the socket buffers hold
+constexpr std::size_t kReadBytes = 1024 * 1024;
 
-/// One server that answers with kBody bytes, and one caller of it.
+/// A server that answers with kBodyBytes bytes, and one caller of it.
 class LargeAnswer {
 public:
     explicit LargeAnswer(std::chrono::milliseconds write_time)
@@ -42,7 +42,7 @@
         m_port = *port;
     }
 
-    /// The caller reads all of it, with a pause before each step.
+    /// The caller reads the whole answer, with a pause before each read.
     void read_slowly(std::chrono::milliseconds pause)
     {
         asio::co_spawn(m_io, read(pause), asio::detached);
@@ -52,11 +52,11 @@
     /// The caller reads nothing.
     void read_nothing()
     {
-        asio::co_spawn(m_io, ask(), asio::detached);
+        asio::co_spawn(m_io, send_request(), asio::detached);
         while (!sent && m_io.run_one() > 0) { }
     }
 
-    std::optional<bool> sent; ///< what the server thinks of its answer
+    std::optional<bool> sent; ///< result of the server's respond()
     std::size_t bytes_read = 0;
 
 private:
@@ -70,28 +70,28 @@
     asio::awaitable<void> answer(HttpExchange& exchange)
     {
         HttpResponse response;
-        response.body.assign(kBody, 'x');
+        response.body.assign(kBodyBytes, 'x');
         sent = co_await exchange.respond(std::move(response));
     }
 
-    asio::awaitable<void> ask()
+    asio::awaitable<void> send_request()
     {
         const tcp::endpoint server(asio::ip::make_address("127.0.0.1"), m_port);
         co_await m_caller.async_connect(server, asio::use_awaitable);
-        const std::string question = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
-        co_await asio::async_write(m_caller, asio::buffer(question), asio::use_awaitable);
+        const std::string request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
+        co_await asio::async_write(m_caller, asio::buffer(request), asio::use_awaitable);
     }
 
     asio::awaitable<void> read(std::chrono::milliseconds pause)
     {
-        co_await ask();
-        std::vector<char> step(kStep);
+        co_await send_request();
+        std::vector<char> chunk(kReadBytes);
         asio::steady_timer timer(m_io);
-        while (bytes_read < kBody) {
+        while (bytes_read < kBodyBytes) {
             timer.expires_after(pause);
             co_await timer.async_wait(asio::use_awaitable);
             auto [ec, size]
-                = co_await m_caller.async_read_some(asio::buffer(step), kToTuple);
+                = co_await m_caller.async_read_some(asio::buffer(chunk), kToTuple);
             if (ec)
                 break;
             bytes_read += size;
@@ -105,16 +105,16 @@
     unsigned short m_port = 0;
 };
 
-TEST_CASE("a caller that reads slowly gets all of a large answer")
+TEST_CASE("a caller that reads slowly receives the whole of a large answer")
 {
-    // 48 steps at least: more than twice the limit for one write.
+    // At least 48 reads: more than twice the limit for one write.
     LargeAnswer answer(std::chrono::milliseconds(1000));
     answer.read_slowly(std::chrono::milliseconds(50));
-    CHECK(answer.bytes_read >= kBody);
+    CHECK(answer.bytes_read >= kBodyBytes);
     CHECK(answer.sent == true);
 }
 
-TEST_CASE("a caller that does not read is left after the limit")
+TEST_CASE("a caller that does not read is disconnected after the write limit")
 {
     LargeAnswer answer(std::chrono::milliseconds(200));
     answer.read_nothing();
--- a/src/libutil/hybrid_clock.cpp
+++ b/src/libutil/hybrid_clock.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-// A stamp from a process whose clock is further ahead than this is not taken
-// over: it would drag this clock away for good.
+// A stamp that is further ahead of the wall clock is ignored: adopting it would move this
+// clock ahead permanently.
 constexpr std::int64_t kMaxLeadMs = 60'000;
-constexpr int kHex = 16;
+constexpr int kHexBase = 16;
 
 std::uint64_t
 wall_stamp()
@@ -82,7 +82,7 @@
 {
     std::uint64_t stamp = 0;
     const auto [end, error]
-        = std::from_chars(text.data(), text.data() + text.size(), stamp, kHex);
+        = std::from_chars(text.data(), text.data() + text.size(), stamp, kHexBase);
     return error == std::errc {} && end == text.data() + text.size() ? stamp : 0;
 }
 
--- a/src/libutil/hybrid_clock.h
+++ b/src/libutil/hybrid_clock.h
@@ -10,15 +10,15 @@
 
 namespace cypressford {
 
-/// Hybrid logical clock (Kulkarni et al., 2014): wall-clock milliseconds in the
-/// upper 48 bits and a counter below, so that an event which caused another one
-/// in any process always has the smaller stamp.  Lock-free.
+/// Hybrid logical clock (Kulkarni et al., 2014): wall-clock milliseconds in the upper 48
+/// bits and a counter below, so that an event always has a smaller stamp than any event
+/// that it caused, in whichever process.  Lock-free.
 class HybridClock {
 public:
-    /// A stamp for an event of this process.
+    /// Returns a stamp for an event of this process.
     std::uint64_t tick();
 
-    /// Takes note of a stamp that came with a message.
+    /// Advances the clock to a stamp that was received with a message.
     void observe(std::uint64_t remote);
 
     /// The clock of this process.
@@ -32,14 +32,14 @@
 
 /// Milliseconds since 1970.
 std::int64_t wall_ms();
-/// Microseconds of BootClock, which counts on while the node is suspended.
+/// Microseconds of BootClock, which includes time in suspension.
 std::int64_t monotonic_us();
 
 /// Header that carries a stamp with a call.
 inline constexpr std::string_view kClockHeader = "X-Cypressford-Clock";
 
 std::string format_stamp(std::uint64_t stamp);
-/// 0 for text that is no stamp.
+/// 0 if the text is not a stamp.
 std::uint64_t parse_stamp(std::string_view text);
 
 } // namespace cypressford
--- a/src/libutil/json_fields.h
+++ b/src/libutil/json_fields.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Reads members of JSON objects that came from outside: what is missing or
-/// of the wrong type is the fallback, never an exception.
+/// Reads members of JSON objects from untrusted sources: a member that is missing or of
+/// the wrong type yields the fallback, never an exception.
 
 #pragma once
 
@@ -15,8 +15,8 @@
 
 namespace cypressford {
 
-/// Which texts may stand in JSON: one that is no UTF-8 makes all of a message unreadable,
-/// also where others wrote parts of it.
+/// Which strings are accepted in JSON.  With Utf8, one string that is not valid UTF-8 makes
+/// the whole message unreadable, even if another process wrote that part of it.
 enum class JsonText : unsigned char { Utf8, Any };
 
 inline std::optional<boost::json::object>
--- a/src/libutil/packing.h
+++ b/src/libutil/packing.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Compression of one text against another that the far side has, by Zstandard.
+/// Zstandard compression of a text against a base text that the receiver already has.
 
 #pragma once
 
@@ -12,14 +12,14 @@
 
 namespace cypressford {
 
-/// Largest text that is unpacked, in bytes; as much as an answer may carry.
+/// Largest text that is unpacked, in bytes; equal to the size limit of an answer.
 constexpr std::size_t kMaxUnpacked = 8 * 1024 * 1024;
 
-/// `value` as what it differs by from `base`; empty if the library fails.
+/// `value` compressed against `base`; empty if the library fails.
 std::string pack(std::string_view value, std::string_view base);
 
-/// The text that was packed; nothing for damaged bytes, another base than it was packed
-/// against, or a text above kMaxUnpacked.
+/// The text that was packed; nullopt for damaged bytes, for a base other than that used for
+/// packing, or for a text above kMaxUnpacked.
 std::optional<std::string> unpack(std::string_view packed, std::string_view base);
 
 } // namespace cypressford
--- a/src/libutil/packing_test.cpp
+++ b/src/libutil/packing_test.cpp
@@ -8,7 +8,7 @@
 namespace cypressford {
 namespace {
 
-/// A text of `count` entries that differ from each other, as a configuration has them.
+/// A text of `count` different entries, similar to a configuration.
 std::string
 entries(int count)
 {
@@ -21,7 +21,7 @@
     return text;
 }
 
-TEST_CASE("what was packed comes back, with and without a base")
+TEST_CASE("unpacking returns the packed text, with and without a base")
 {
     for (const int count : {0, 1, 50, 20000}) {
         const std::string value = entries(count);
@@ -31,7 +31,7 @@
     }
 }
 
-TEST_CASE("a small change to a large text is a small part of it")
+TEST_CASE("a small change to a large text packs to a small fraction of its size")
 {
     const std::string base = entries(30000);
     REQUIRE(base.size() > 600'000);
@@ -41,7 +41,7 @@
     CHECK(pack(value, {}).size() < base.size() / 2);
 }
 
-TEST_CASE("another base, damaged and foreign bytes are told")
+TEST_CASE("a wrong base, damaged bytes and unrelated bytes are detected")
 {
     const std::string base = entries(1000);
     const std::string value = entries(1001);
@@ -56,7 +56,7 @@
     CHECK_FALSE(unpack(damaged, base));
 }
 
-TEST_CASE("a text above the bound is not unpacked")
+TEST_CASE("a text above the size limit is not unpacked")
 {
     CHECK_FALSE(unpack(pack(std::string(kMaxUnpacked + 1, 'x'), {}), {}));
     CHECK(unpack(pack(std::string(kMaxUnpacked, 'x'), {}), {}));
--- a/src/libutil/rcu_cell.h
+++ b/src/libutil/rcu_cell.h
@@ -11,7 +11,7 @@
 
 namespace cypressford {
 
-/// Registers the calling thread with the RCU library for its life.
+/// Registers the calling thread with the RCU library for the lifetime of this object.
 class RcuThread {
 public:
     RcuThread() { urcu_memb_register_thread(); }
@@ -20,9 +20,9 @@
     RcuThread& operator=(const RcuThread&) = delete;
 };
 
-/// Holds one shared object that many threads read and few replace.  Readers
-/// take no lock: a read-side section covers the copy of the pointer, which then
-/// keeps the object alive for as long as the request needs it.
+/// Holds one shared object that many threads read and few replace.  Readers take no lock:
+/// a read-side critical section covers the copy of the pointer, which then keeps the object
+/// alive for as long as the request needs it.
 template <class T> class RcuCell {
 public:
     RcuCell() = default;
@@ -30,7 +30,7 @@
     RcuCell(const RcuCell&) = delete;
     RcuCell& operator=(const RcuCell&) = delete;
 
-    /// The present object, or null.  The thread must hold an RcuThread.
+    /// The current object, or null.  The calling thread must hold an RcuThread.
     std::shared_ptr<const T> load() const
     {
         urcu_memb_read_lock();
@@ -40,7 +40,7 @@
         return value;
     }
 
-    /// Replaces the object; waits until no reader can hold the old pointer.
+    /// Replaces the object; blocks until no reader can hold the old pointer.
     void store(std::shared_ptr<const T> value)
     {
         const std::lock_guard lock(m_writers);
--- a/src/libutil/socket_watchdog.h
+++ b/src/libutil/socket_watchdog.h
@@ -11,12 +11,12 @@
 
 namespace cypressford {
 
-/// Ends what a socket waits for when time is up.  Not thread-safe.
+/// Ends the pending operations of a socket when a time limit expires.  Not thread-safe.
 class SocketWatchdog {
 public:
     enum class Action : unsigned char {
-        Cancel, ///< the socket stays open, so that a slow caller can still be told
-        Close ///< what is begun afterwards fails as well
+        Cancel, ///< the socket stays open, so that a slow caller can still be answered
+        Close ///< operations that are started afterwards fail as well
     };
 
     SocketWatchdog(boost::asio::ip::tcp::socket& socket, Action action)
@@ -34,7 +34,7 @@
         disarm();
         m_state = std::make_shared<State>();
         m_timer.expires_at(at);
-        // The handler may be due already when the watchdog is disarmed or gone,
+        // The handler may already be queued when the watchdog is disarmed or destroyed,
         // so it holds a state of its own.
         m_timer.async_wait(
             [state = m_state, &socket = m_socket, action = m_action](auto ec) {
--- a/src/libutil/yaml_reader.h
+++ b/src/libutil/yaml_reader.h
@@ -13,16 +13,17 @@
 
 namespace cypressford {
 
-/// Reads one YAML mapping, noting every fault with its line.
+/// Reads one YAML mapping and records every fault with its line number.
 class YamlMapReader {
 public:
-    YamlMapReader(const YAML::Node& node, std::string what, std::vector<Fault>& faults)
+    YamlMapReader(const YAML::Node& node, std::string mapping_name,
+                  std::vector<Fault>& faults)
         : m_node(node)
-        , m_what(std::move(what))
+        , m_mapping_name(std::move(mapping_name))
         , m_faults(faults)
     {
         if (!node.IsMap())
-            add(node, m_what + " must be a mapping");
+            add(node, m_mapping_name + " must be a mapping");
     }
 
     template <class T> void read(const char* key, T& out, bool required = false)
@@ -31,13 +32,13 @@
         const YAML::Node value = child(key);
         if (!value) {
             if (required)
-                add(m_node, m_what + " needs '" + key + "'");
+                add(m_node, m_mapping_name + " needs '" + key + "'");
             return;
         }
         try {
             out = value.as<T>();
         } catch (const YAML::Exception&) {
-            add(value, m_what + ": '" + key + "' has the wrong type");
+            add(value, m_mapping_name + ": '" + key + "' has the wrong type");
         }
     }
 
@@ -48,7 +49,7 @@
         if (!value)
             return;
         if (!value.IsSequence()) {
-            add(value, m_what + ": '" + key + "' must be a list");
+            add(value, m_mapping_name + ": '" + key + "' must be a list");
             return;
         }
         for (const auto& item : value)
@@ -61,11 +62,11 @@
         return m_node.IsMap() ? m_node[key] : YAML::Node(YAML::NodeType::Undefined);
     }
 
-    /// Says what a key of earlier versions is called now.
+    /// Adds a fault that names the new key if the mapping has a key of an earlier version.
     void refuse_renamed(const char* old_key, const char* key)
     {
         if (const YAML::Node value = child(old_key))
-            add(value, m_what + ": '" + old_key + "' is now called '" + key + "'");
+            add(value, m_mapping_name + ": '" + old_key + "' is now called '" + key + "'");
     }
 
     void refuse_unknown_keys()
@@ -75,7 +76,7 @@
         for (const auto& entry : m_node) {
             const auto key = entry.first.as<std::string>("");
             if (m_known.count(key) == 0)
-                add(entry.first, m_what + ": unknown key '" + key + "'");
+                add(entry.first, m_mapping_name + ": unknown key '" + key + "'");
         }
     }
 
@@ -86,7 +87,7 @@
 
 private:
     const YAML::Node m_node;
-    std::string m_what;
+    std::string m_mapping_name;
     std::vector<Fault>& m_faults;
     std::set<std::string> m_known;
 };
