--- a/src/cypressford/bundle_commands.cpp
+++ b/src/cypressford/bundle_commands.cpp
@@ -49,10 +49,10 @@
     record.name = bundle->name;
     record.version = bundle->version;
     record.bundle = canonical_json(*bundle);
-    auto sealed = sign_record(std::move(record), read_key(options));
-    if (!sealed)
-        return tl::unexpected<int>(bad_key(sealed.error()));
-    return *std::move(sealed);
+    auto signed_record = sign_record(std::move(record), read_key(options));
+    if (!signed_record)
+        return tl::unexpected<int>(report_bad_key(signed_record.error()));
+    return *std::move(signed_record);
 }
 
 int
@@ -87,7 +87,7 @@
 publish(const std::string& path, const CommandOptions& options)
 {
     const auto record = signed_publish(path, options);
-    return record ? append_and_tell(*record, options) : record.error();
+    return record ? append_and_report(*record, options) : record.error();
 }
 
 int
@@ -100,13 +100,13 @@
     const auto [end, error]
         = std::from_chars(version.data(), version.data() + version.size(), record.version);
     if (error != std::errc {} || end != version.data() + version.size()) {
-        std::cerr << "'" << version << "' is no version\n";
+        std::cerr << "'" << version << "' is not a version number\n";
         return kExitUsage;
     }
-    auto sealed = sign_record(std::move(record), read_key(options));
-    if (!sealed)
-        return bad_key(sealed.error());
-    return append_and_tell(*sealed, options);
+    auto signed_record = sign_record(std::move(record), read_key(options));
+    if (!signed_record)
+        return report_bad_key(signed_record.error());
+    return append_and_report(*signed_record, options);
 }
 
 int
@@ -114,7 +114,7 @@
 {
     const auto fold = read_fold(options);
     if (!fold)
-        return unavailable(fold.error());
+        return report_unavailable(fold.error());
     json::array versions;
     for (const BundleRecord& record : fold->snapshot().accepted) {
         const bool in_force = record.version == fold->in_force_version();
@@ -129,7 +129,7 @@
     return kExitOk;
 }
 
-/// Version in force at one daemon, from its metrics.
+/// Version of the bundle in force on one daemon, from its metrics; nullopt if unreachable.
 std::optional<std::uint64_t>
 version_at(const std::string& address)
 {
@@ -170,20 +170,20 @@
 } // namespace
 
 int
-bundle_command(const std::vector<std::string>& words, const CommandOptions& options)
+bundle_command(const std::vector<std::string>& arguments, const CommandOptions& options)
 {
-    const std::string verb = words.empty() ? "" : words[0];
-    const std::size_t count = words.size();
+    const std::string verb = arguments.empty() ? "" : arguments[0];
+    const std::size_t count = arguments.size();
     if (verb == "check" && count == 2)
-        return check(words[1]);
+        return check(arguments[1]);
     if (verb == "sign" && count == 2)
-        return sign_file(words[1], options);
+        return sign_file(arguments[1], options);
     if (verb == "publish" && count == 2)
-        return publish(words[1], options);
+        return publish(arguments[1], options);
     if (verb == "roll" && count == 3)
-        return act_on_version(BundleAction::Roll, words[1], words[2], options);
+        return act_on_version(BundleAction::Roll, arguments[1], arguments[2], options);
     if (verb == "retire" && count == 3)
-        return act_on_version(BundleAction::Retire, words[1], words[2], options);
+        return act_on_version(BundleAction::Retire, arguments[1], arguments[2], options);
     if (verb == "list" && count == 1)
         return list(options);
     if (verb == "status" && count == 1)
--- a/src/cypressford/cypressford.cpp
+++ b/src/cypressford/cypressford.cpp
@@ -90,26 +90,26 @@
 }
 
 int
-dispatch(std::vector<std::string> words)
+dispatch(std::vector<std::string> arguments)
 {
     const CommandOptions options = read_options();
-    const std::string command = words.empty() ? "" : words.front();
-    if (!words.empty())
-        words.erase(words.begin());
+    const std::string command = arguments.empty() ? "" : arguments.front();
+    if (!arguments.empty())
+        arguments.erase(arguments.begin());
     if (command == "keygen")
         return keygen(options);
     if (command == "bundle")
-        return bundle_command(words, options);
+        return bundle_command(arguments, options);
     if (command == "hall")
-        return hall_command(words, options);
+        return hall_command(arguments, options);
     if (command == "quarantine")
-        return quarantine_command(words, options);
+        return quarantine_command(arguments, options);
     if (command == "timeline")
-        return timeline_command(words, options);
-    if (command == "losses" && !words.empty())
-        return losses_command(words, options);
-    if (command == "settings" && words.size() == 2 && words[0] == "check")
-        return settings_check(words[1]);
+        return timeline_command(arguments, options);
+    if (command == "losses" && !arguments.empty())
+        return losses_command(arguments, options);
+    if (command == "settings" && arguments.size() == 2 && arguments[0] == "check")
+        return settings_check(arguments[1]);
     if (command == "version") {
         std::cout << "cypressford " << kVersion << '\n';
         return kExitOk;
@@ -158,9 +158,9 @@
 main(int argc, char** argv)
 {
     absl::SetProgramUsageMessage(cypressford::kUsage);
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
     for (const char* word : absl::ParseCommandLine(argc, argv))
-        words.emplace_back(word);
-    words.erase(words.begin());
-    return cypressford::dispatch(std::move(words));
+        arguments.emplace_back(word);
+    arguments.erase(arguments.begin());
+    return cypressford::dispatch(std::move(arguments));
 }
--- a/src/cypressford/hall_commands.cpp
+++ b/src/cypressford/hall_commands.cpp
@@ -17,28 +17,28 @@
 
 namespace {
 
-/// Numbers of a hall's records rise, so the record builds on what the log holds.
+/// The versions of a hall's records must increase, so the log is read for the newest first.
 int
 act_on_hall(BundleAction action, const std::string& hall, const CommandOptions& options)
 {
     const std::string pem = read_key(options);
     const auto key = public_key_of(pem);
     if (!key)
-        return bad_key(key.error());
-    CommandOptions trusting = options;
-    trusting.trust.push_back(*key);
-    const auto fold = read_fold(trusting);
+        return report_bad_key(key.error());
+    CommandOptions own_key_options = options;
+    own_key_options.trust.push_back(*key);
+    const auto fold = read_fold(own_key_options);
     if (!fold)
-        return unavailable(fold.error());
+        return report_unavailable(fold.error());
     BundleRecord record;
     record.action = action;
     record.name = hall;
     record.version = static_cast<std::uint64_t>(
         std::max<Offset>(0, fold->evacuations().newest(hall)) + 1);
-    auto sealed = sign_record(std::move(record), pem);
-    if (!sealed)
-        return bad_key(sealed.error());
-    return append_and_tell(*sealed, options);
+    auto signed_record = sign_record(std::move(record), pem);
+    if (!signed_record)
+        return report_bad_key(signed_record.error());
+    return append_and_report(*signed_record, options);
 }
 
 int
@@ -46,7 +46,7 @@
 {
     const auto fold = read_fold(options);
     if (!fold)
-        return unavailable(fold.error());
+        return report_unavailable(fold.error());
     const std::vector<std::string> halls = fold->evacuations().halls();
     if (options.json) {
         std::cout << json::serialize(json::array(halls.begin(), halls.end())) << '\n';
@@ -60,14 +60,14 @@
 } // namespace
 
 int
-hall_command(const std::vector<std::string>& words, const CommandOptions& options)
+hall_command(const std::vector<std::string>& arguments, const CommandOptions& options)
 {
-    const std::string verb = words.empty() ? "" : words[0];
-    const std::size_t count = words.size();
+    const std::string verb = arguments.empty() ? "" : arguments[0];
+    const std::size_t count = arguments.size();
     if (verb == "evacuate" && count == 2)
-        return act_on_hall(BundleAction::Evacuate, words[1], options);
+        return act_on_hall(BundleAction::Evacuate, arguments[1], options);
     if (verb == "end-evacuation" && count == 2)
-        return act_on_hall(BundleAction::EndEvacuation, words[1], options);
+        return act_on_hall(BundleAction::EndEvacuation, arguments[1], options);
     if (verb == "list" && count == 1)
         return list_halls(options);
     std::cerr << "usage: cypressford hall evacuate|end-evacuation|list ...\n";
--- a/src/cypressford/log_reader.cpp
+++ b/src/cypressford/log_reader.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// What each line begins with, perhaps behind other text.
+/// Key at the start of each event; other text may precede it on the line.
 constexpr std::string_view kFirstKey = "hlc=";
 
 struct SplitLine {
     std::map<std::string, std::string, std::less<>> fields;
-    bool whole = true; ///< false: ends within a quoted value
+    bool complete = true; ///< false: the line ends within a quoted value
 };
 
 /// Splits key=value pairs; values may be quoted.
@@ -39,7 +39,7 @@
                     ++at;
                 value += line[at];
             }
-            split.whole = at < line.size();
+            split.complete = at < line.size();
             ++at;
         } else {
             const std::size_t end = std::min(line.find(' ', at), line.size());
@@ -81,7 +81,7 @@
 void
 read_events(std::string_view text, std::vector<LoggedEvent>& events, LogFaults& faults)
 {
-    std::map<std::string, std::uint64_t, std::less<>> last_of; // stamp, by node
+    std::map<std::string, std::uint64_t, std::less<>> last_stamp_by_node;
     while (!text.empty()) {
         const std::size_t end = text.find('\n');
         const std::string_view line = text.substr(0, end);
@@ -95,11 +95,11 @@
         LoggedEvent event {0, std::string(line.substr(start)), std::move(split.fields)};
         event.stamp = parse_stamp(std::string(event.text("hlc")));
         const bool lacks_event = event.text("event").empty();
-        if (event.stamp == 0 || lacks_event || !split.whole) {
+        if (event.stamp == 0 || lacks_event || !split.complete) {
             ++faults.cut;
             continue;
         }
-        std::uint64_t& last = last_of[std::string(event.text("node"))];
+        std::uint64_t& last = last_stamp_by_node[std::string(event.text("node"))];
         faults.clock_steps += event.stamp < last ? 1 : 0;
         last = event.stamp;
         events.push_back(std::move(event));
--- a/src/cypressford/log_reader.h
+++ b/src/cypressford/log_reader.h
@@ -14,32 +14,32 @@
 
 namespace cypressford {
 
-/// One line of a log.
+/// One event, which is one line of a log.
 struct LoggedEvent {
     std::uint64_t stamp = 0; ///< of the hybrid logical clock
-    std::string line; ///< as it was written
+    std::string line; ///< the text from its first key on
     std::map<std::string, std::string, std::less<>> fields;
 
     /// Empty if the line has no such field.
     std::string_view text(std::string_view key) const;
-    /// 0 if the line has no such field, or it is no number.
+    /// 0 if the line has no such field, or its value is not a number.
     std::int64_t number(std::string_view key) const;
-    /// Time of writing, in ms since 1970.
+    /// Time at which the event was logged, in ms since 1970.
     std::int64_t wall_ms() const;
 };
 
-/// Lines that could not be used, by reason.
+/// Lines that are left out, by reason, and clock steps, whose events are kept.
 struct LogFaults {
-    std::size_t foreign = 0; ///< without event or time: another program's, or none
-    std::size_t cut = 0; ///< begins like an event of ours and ends within it
-    std::size_t clock_steps = 0; ///< written earlier than the line before it
+    std::size_t foreign = 0; ///< without hlc=, such as output of another program
+    std::size_t cut = 0; ///< starts like an event, but has no valid stamp, name or end
+    std::size_t clock_steps = 0; ///< events stamped before their node's previous one
 };
 
-/// Adds the events of one file.  Lines may carry other text before their pairs.
+/// Appends the events of one file.  Lines may have other text before their pairs.
 void read_events(std::string_view text, std::vector<LoggedEvent>& events,
                  LogFaults& faults);
 
-/// In the order of the hybrid logical clock: what caused something stands before it.
+/// Sorts by the hybrid logical clock: a cause always precedes its effects.
 void sort_events(std::vector<LoggedEvent>& events);
 
 } // namespace cypressford
--- a/src/cypressford/losses.cpp
+++ b/src/cypressford/losses.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-constexpr std::int64_t kMsOfSecond = 1000;
+constexpr std::int64_t kMsPerSecond = 1000;
 
-/// What the events before a request's end say of it.
+/// Information from the events of a request that has not ended yet.
 struct RequestTrace {
     std::string pipeline;
-    std::string failed_pieces; ///< "SET WHY" of the last stage that was not made
-    std::string slowest_stage; ///< set
+    std::string failed_pieces; ///< "pieces SET WHY" of the last stage that failed
+    std::string slowest_stage; ///< upstream set of the slowest stage
     std::int64_t slowest_us = 0;
-    std::string last_attempt; ///< how it ended
+    std::string last_attempt; ///< status of the last attempt
     std::string engine_set;
     int attempts = 0;
-    std::map<std::string, std::int64_t> made; ///< pieces by set
+    std::map<std::string, std::int64_t> made; ///< number of pieces, by upstream set
 };
 
 class LossFinder {
@@ -34,7 +34,7 @@
         m_losses.first_ms = events.front().wall_ms();
         m_losses.last_ms = events.back().wall_ms();
         for (const LoggedEvent& event : events)
-            take(event);
+            add_event(event);
         for (const std::string& address : m_leaders)
             if (!m_peers.contains(address))
                 m_losses.missing.insert(address);
@@ -43,7 +43,7 @@
     Losses result() && { return std::move(m_losses); }
 
 private:
-    void take(const LoggedEvent& event)
+    void add_event(const LoggedEvent& event)
     {
         m_losses.nodes.emplace(event.text("node"));
         const std::string_view kind = event.text("event");
@@ -52,15 +52,15 @@
         else if (kind == "request_begin")
             trace_of(event).pipeline = event.text("pipeline");
         else if (kind == "pieces")
-            take_pieces(event);
+            add_pieces(event);
         else if (kind == "piece_call")
-            take_call(event);
+            add_piece_call(event);
         else if (kind == "prompt_placed")
-            take_prompt(event);
+            add_prompt(event);
         else if (kind == "attempt_end")
-            take_attempt(event);
+            add_attempt(event);
         else if (kind == "request_end")
-            take_end(event);
+            add_request_end(event);
     }
 
     RequestTrace& trace_of(const LoggedEvent& event)
@@ -68,27 +68,27 @@
         return m_traces[std::string(event.text("request"))];
     }
 
-    void take_pieces(const LoggedEvent& event)
+    void add_pieces(const LoggedEvent& event)
     {
         const std::string set(event.text("set"));
         if (const std::string leader(event.text("leader")); !leader.empty())
             m_leaders.insert(leader);
         RequestTrace& trace = trace_of(event);
-        const std::int64_t took = event.number("us");
+        const std::int64_t duration_us = event.number("us");
         if (event.text("made") == "true") {
             trace.made[set] += event.number("count");
             m_losses.sets[set].made += event.number("count");
-            m_losses.sets[set].took_us.push_back(took);
+            m_losses.sets[set].took_us.push_back(duration_us);
         } else if (event.text("why") != "other_stage") {
             trace.failed_pieces = "pieces " + set + " " + std::string(event.text("why"));
         }
-        if (event.text("made") == "true" && took > trace.slowest_us) {
-            trace.slowest_us = took;
+        if (event.text("made") == "true" && duration_us > trace.slowest_us) {
+            trace.slowest_us = duration_us;
             trace.slowest_stage = set;
         }
     }
 
-    void take_call(const LoggedEvent& event)
+    void add_piece_call(const LoggedEvent& event)
     {
         SetLosses& set = m_losses.sets[std::string(event.text("set"))];
         const std::int64_t pieces = event.number("pieces");
@@ -107,7 +107,7 @@
         set.memory_kb.push_back(event.number("memory_kb"));
     }
 
-    void take_prompt(const LoggedEvent& event)
+    void add_prompt(const LoggedEvent& event)
     {
         const std::string set(event.text("set"));
         trace_of(event).engine_set = set;
@@ -118,7 +118,7 @@
         engine.tokens_again += event.number("again");
     }
 
-    void take_attempt(const LoggedEvent& event)
+    void add_attempt(const LoggedEvent& event)
     {
         RequestTrace& trace = trace_of(event);
         trace.last_attempt = event.text("status");
@@ -128,11 +128,11 @@
             m_losses.engines[trace.engine_set].first_event_us.push_back(first);
     }
 
-    void take_end(const LoggedEvent& event)
+    void add_request_end(const LoggedEvent& event)
     {
         const RequestTrace& trace = trace_of(event);
         const std::string outcome(event.text("outcome"));
-        const std::int64_t second = (event.wall_ms() - m_losses.first_ms) / kMsOfSecond;
+        const std::int64_t second = (event.wall_ms() - m_losses.first_ms) / kMsPerSecond;
         RequestCounts& of_pipeline
             = m_losses.by_pipeline[std::string(event.text("pipeline"))];
         for (RequestCounts* counts : {&of_pipeline, &m_losses.by_second[second]})
@@ -151,10 +151,10 @@
             ++counts.left;
         } else if (outcome != "ok") {
             ++(event.text("ran") == "not_run" ? counts.refused : counts.failed);
-            ++counts.reasons[why_not(trace, outcome)];
+            ++counts.reasons[failure_reason(trace, outcome)];
         } else if (is_late(event)) {
             ++counts.late;
-            ++counts.reasons[why_late(event, trace)];
+            ++counts.reasons[lateness_reason(event, trace)];
         } else {
             ++counts.in_time;
         }
@@ -163,12 +163,12 @@
     static bool is_late(const LoggedEvent& event)
     {
         const std::int64_t first = event.number("first_us");
-        const std::int64_t began = first > 0 ? first : event.number("us");
-        const std::int64_t aim = event.number("aim_us");
-        return aim > 0 && began > aim;
+        const std::int64_t started_us = first > 0 ? first : event.number("us");
+        const std::int64_t target_us = event.number("aim_us");
+        return target_us > 0 && started_us > target_us;
     }
 
-    static std::string why_not(const RequestTrace& trace, const std::string& outcome)
+    static std::string failure_reason(const RequestTrace& trace, const std::string& outcome)
     {
         if (!trace.failed_pieces.empty())
             return trace.failed_pieces;
@@ -177,11 +177,11 @@
         return "refused " + outcome;
     }
 
-    static std::string why_late(const LoggedEvent& event, const RequestTrace& trace)
+    static std::string lateness_reason(const LoggedEvent& event, const RequestTrace& trace)
     {
         if (trace.attempts > 1)
             return "late retry";
-        // Half of the time up to the first event is most of it.
+        // A stage that took more than half of the time up to the first event is the reason.
         if (2 * trace.slowest_us > event.number("first_us") && trace.slowest_us > 0)
             return "late pieces " + trace.slowest_stage;
         return trace.engine_set.empty() ? "late upstream"
@@ -189,9 +189,9 @@
     }
 
     Losses m_losses;
-    std::map<std::string, RequestTrace> m_traces; ///< of requests that have not ended
-    std::set<std::string> m_leaders; ///< addresses that orders went to
-    std::set<std::string> m_peers; ///< addresses of the daemons whose logs are there
+    std::map<std::string, RequestTrace> m_traces; ///< unfinished requests, by id
+    std::set<std::string> m_leaders; ///< addresses to which orders were sent
+    std::set<std::string> m_peers; ///< addresses of the daemons whose logs were read
 };
 
 } // namespace
--- a/src/cypressford/losses_report.cpp
+++ b/src/cypressford/losses_report.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Losses as text for people and as JSON for programs.
+/// Formats losses as text and as JSON.
 
 #include "losses.h"
 
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr double kUsOfMs = 1000;
-constexpr double kUsOfMillisecondSpan = 1000; ///< a span in ms to us
-constexpr std::size_t kMostReasons = 4; ///< that a line of text names
-constexpr double kWorthALine = 0.1; ///< part of a second's requests that were lost
+constexpr double kUsPerMs = 1000;
+constexpr double kSpanUsPerMs = 1000; ///< for a time span in ms
+constexpr std::size_t kMaxReasonsPerLine = 4;
+constexpr double kMinPrintedLossRatio = 0.1; ///< lost part of a second's requests
 
 double
 ratio(std::int64_t part, std::int64_t whole)
@@ -29,7 +29,7 @@
     return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-/// 0 without any.
+/// 0 if there are no values.
 std::int64_t
 percentile(std::vector<std::int64_t> values, double part)
 {
@@ -45,7 +45,7 @@
 busy_part(const SetLosses& set, const Losses& losses)
 {
     const double span_us
-        = static_cast<double>(losses.last_ms - losses.first_ms) * kUsOfMillisecondSpan;
+        = static_cast<double>(losses.last_ms - losses.first_ms) * kSpanUsPerMs;
     const double all = span_us * static_cast<double>(set.upstreams.size());
     return all <= 0 ? 0 : static_cast<double>(set.busy_us) / all;
 }
@@ -59,7 +59,7 @@
         sorted.emplace_back(count, reason);
     std::sort(sorted.rbegin(), sorted.rend());
     std::string text;
-    for (std::size_t i = 0; i < std::min(sorted.size(), kMostReasons); ++i)
+    for (std::size_t i = 0; i < std::min(sorted.size(), kMaxReasonsPerLine); ++i)
         text += (i == 0 ? "" : "; ") + sorted[i].second + " "
             + std::to_string(sorted[i].first);
     return text;
@@ -81,7 +81,7 @@
 write_faults(std::ostream& out, const Losses& losses)
 {
     out << losses.events << " events of " << losses.nodes.size() << " nodes in "
-        << (losses.last_ms - losses.first_ms) / kUsOfMs
+        << (losses.last_ms - losses.first_ms) / kUsPerMs
         << " s; lines left out: " << losses.faults.foreign << " foreign, "
         << losses.faults.cut << " cut; clock steps: " << losses.faults.clock_steps << '\n';
     for (const std::string& address : losses.missing)
@@ -99,8 +99,8 @@
             << std::setprecision(1) << std::setw(12) << ratio(set.pieces, set.calls)
             << std::setw(17) << ratio(set.pieces_with_waiting, set.calls_with_waiting)
             << std::setw(5) << set.bound << std::setprecision(0) << std::setw(8)
-            << static_cast<double>(percentile(set.took_us, 0.5)) / kUsOfMs << std::setw(8)
-            << static_cast<double>(percentile(set.took_us, 0.9)) / kUsOfMs << std::setw(12)
+            << static_cast<double>(percentile(set.took_us, 0.5)) / kUsPerMs << std::setw(8)
+            << static_cast<double>(percentile(set.took_us, 0.9)) / kUsPerMs << std::setw(12)
             << percentile(set.memory_kb, 0.5) << std::setw(8)
             << percentile(set.memory_kb, 0.1) << std::setw(8) << set.no_memory
             << std::setw(6) << set.made << std::setw(7) << set.unused << std::setw(11)
@@ -118,9 +118,9 @@
         out << std::left << std::setw(20) << name << std::right << std::setw(8)
             << engine.prompts << std::setw(10) << engine.tokens << std::setw(10)
             << engine.tokens_read << std::setw(10) << engine.tokens_again << std::setw(20)
-            << static_cast<double>(percentile(engine.first_event_us, 0.5)) / kUsOfMs
+            << static_cast<double>(percentile(engine.first_event_us, 0.5)) / kUsPerMs
             << std::setw(8)
-            << static_cast<double>(percentile(engine.first_event_us, 0.99)) / kUsOfMs
+            << static_cast<double>(percentile(engine.first_event_us, 0.99)) / kUsPerMs
             << '\n';
 }
 
@@ -181,7 +181,7 @@
     out << "\nseconds in which a tenth or more was not answered in time\n" << kCountsHead;
     for (const auto& [second, counts] : losses.by_second) {
         const int lost = counts.late + counts.refused + counts.failed;
-        if (ratio(lost, counts.asked) >= kWorthALine)
+        if (ratio(lost, counts.asked) >= kMinPrintedLossRatio)
             write_counts(out, std::to_string(second), counts);
     }
     write_sets(out, losses);
--- a/src/cypressford/losses_test.cpp
+++ b/src/cypressford/losses_test.cpp
@@ -40,7 +40,7 @@
       "hlc=00000000000a0000 node=n1 event=request_end request=b pipeline=p outcome=ok "
       "ran=ran first_us=1000000 aim_us=500000 us=2000000\n";
 
-TEST_CASE("a lost request is told with what lost it, a late one with its longest part")
+TEST_CASE("a refused request has its failed stage as reason, a late one its slowest stage")
 {
     const Losses losses = losses_of(kLog);
     const RequestCounts& counts = losses.by_pipeline.at("p");
@@ -52,7 +52,7 @@
     CHECK(losses.by_second.at(0).asked == 2);
 }
 
-TEST_CASE("sets and engines are told with what was scarce")
+TEST_CASE("upstream sets and engines report their scarce resources")
 {
     const Losses losses = losses_of(kLog);
     const SetLosses& set = losses.sets.at("s");
@@ -68,7 +68,7 @@
     CHECK(engine.first_event_us == std::vector<std::int64_t> {50000});
 }
 
-TEST_CASE("bad lines are counted, and a daemon without a log is named")
+TEST_CASE("invalid lines are counted, and a daemon without a log is named")
 {
     std::string text(kLog);
     text += "Segmentation fault\n";
@@ -80,7 +80,7 @@
     CHECK(losses.by_pipeline.at("p").asked == 2);
 }
 
-TEST_CASE("a clock that steps back is counted and changes no count of requests")
+TEST_CASE("a clock that steps back is counted and does not affect request counts")
 {
     std::string text(kLog);
     text += "hlc=0000000000010000 node=n1 event=request_end request=c pipeline=p "
@@ -90,7 +90,7 @@
     CHECK(losses.by_pipeline.at("p").in_time == 1);
 }
 
-TEST_CASE("nothing comes of nothing")
+TEST_CASE("an empty log gives valid empty reports")
 {
     const Losses losses = losses_of("");
     CHECK(losses.events == 0);
@@ -98,7 +98,7 @@
     CHECK(losses_as_json(losses).front() == '{');
 }
 
-TEST_CASE("every prefix of a log is read without a fault")
+TEST_CASE("every truncation of a log is read and reported without failure")
 {
     for (std::size_t length = 0; length < kLog.size(); length += 7) {
         const Losses losses = losses_of(kLog.substr(0, length));
--- a/src/cypressford/operator_log.cpp
+++ b/src/cypressford/operator_log.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr const char* kStream = "bundles";
-constexpr int kAppendTries = 5;
+constexpr int kMaxAppendAttempts = 5;
 
 } // namespace
 
@@ -72,14 +72,14 @@
 }
 
 int
-unavailable(const Error& error)
+report_unavailable(const Error& error)
 {
     std::cerr << error.detail << '\n';
     return kExitUnavailable;
 }
 
 int
-bad_key(const Error& error)
+report_bad_key(const Error& error)
 {
     std::cerr << error.detail << '\n';
     return kExitUsage;
@@ -96,17 +96,18 @@
 
 namespace {
 
-/// Finds what the fold made of `record`, now that it is in the log.
+/// Returns the result of applying `record` as it stands in the log, or nullopt if the log
+/// can't be read or does not contain the record.
 std::optional<FoldResult>
-verdict_on(OperatorLog& log, const BundleRecord& record, const CommandOptions& options)
+find_result(OperatorLog& log, const BundleRecord& record, const CommandOptions& options)
 {
     const auto all = log.read_all();
     if (!all)
         return std::nullopt;
     BundleTrust trust {options.trust, from_hex(options.daemon_key)};
     trust.operators.push_back(record.key);
-    // Records of operators that are not in --trust count for nothing here, so
-    // the list has to be the one in the daemons' settings.
+    // Records of operators that are not in --trust are ignored here, so the list must be
+    // the same as in the daemons' settings.
     BundleFold fold(std::move(trust));
     const std::string wanted = encode(record);
     std::optional<FoldResult> result;
@@ -123,24 +124,26 @@
 } // namespace
 
 int
-append_and_tell(const BundleRecord& record, const CommandOptions& options)
+append_and_report(const BundleRecord& record, const CommandOptions& options)
 {
     OperatorLog log(options.platform);
-    std::optional<FoldResult> verdict;
-    for (int i = 0; i < kAppendTries && !verdict; ++i) {
+    std::optional<FoldResult> result_in_log;
+    for (int i = 0; i < kMaxAppendAttempts && !result_in_log; ++i) {
         log.append(encode(record));
-        verdict = verdict_on(log, record, options);
+        result_in_log = find_result(log, record, options);
     }
-    if (!verdict)
-        return unavailable({ErrorKind::Internal, "the log service can't be reached"});
-    const std::string name(to_string(*verdict));
+    if (!result_in_log)
+        return report_unavailable(
+            {ErrorKind::Internal, "the log service can't be reached"});
+    const std::string name(to_string(*result_in_log));
     if (options.json)
         std::cout << json::serialize(json::object {
             {"name", record.name}, {"version", record.version}, {"result", name}})
                   << '\n';
     else
         std::cout << record.name << " version " << record.version << ": " << name << '\n';
-    const bool done = *verdict == FoldResult::Accepted || *verdict == FoldResult::Repeated;
+    const bool done
+        = *result_in_log == FoldResult::Accepted || *result_in_log == FoldResult::Repeated;
     return done ? kExitOk : kExitRefused;
 }
 
--- a/src/cypressford/operator_log.h
+++ b/src/cypressford/operator_log.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The product's own log as one command of an operator reads and writes it.
+/// Access of the operators' commands to the product's own log.
 
 #pragma once
 
@@ -35,7 +35,7 @@
     return *std::move(result);
 }
 
-/// The log service, for one command.
+/// A client of the log service that blocks until each operation is done.
 class OperatorLog {
 public:
     explicit OperatorLog(const std::string& address);
@@ -50,18 +50,20 @@
     std::unique_ptr<PlatformClient> m_client;
 };
 
-/// What the records of the log amount to for those who trust the operators of `options`.
+/// Result of applying all records of the log, with the operators of `options.trust`
+/// trusted.
 Result<BundleFold> read_fold(const CommandOptions& options);
 
-/// Tells the operator of it and returns the exit code.
-int unavailable(const Error& error);
-int bad_key(const Error& error);
+/// Print the error and return the exit code.
+int report_unavailable(const Error& error);
+int report_bad_key(const Error& error);
 
-/// The operator's private key, or an empty text, with a word about it.
+/// The operator's private key; empty, with an error message, if it can't be read.
 std::string read_key(const CommandOptions& options);
 
-/// Appends until the record is met in the log: an append whose answer was lost may have
-/// taken effect, and a second copy does no harm.  Prints the verdict.
-int append_and_tell(const BundleRecord& record, const CommandOptions& options);
+/// Appends until the record is found in the log: an append whose answer was lost may have
+/// taken effect, and a second copy does no harm.  Prints the result and returns the exit
+/// code.
+int append_and_report(const BundleRecord& record, const CommandOptions& options);
 
 } // namespace cypressford
--- a/src/cypressford/quarantine_commands.cpp
+++ b/src/cypressford/quarantine_commands.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Requests that no upstream gets any more, on the users' platform: what all daemons read
-/// there is listed, and operators' own records are added.
+/// Quarantined requests, which are no longer sent to upstreams: lists the records that all
+/// daemons read on the users' platform, and adds records of the operator.
 
 #include "commands.h"
 
@@ -26,10 +26,10 @@
 
 namespace {
 
-constexpr Micros kAnswerLimit = 3 * kSecond;
+constexpr Micros kAnswerTimeout = 3 * kSecond;
 constexpr int kOk = 200;
 
-/// The topic of suspects in the platform's directory.
+/// The topic of suspect requests in the platform's directory.
 class SuspectLog {
 public:
     explicit SuspectLog(std::string address)
@@ -39,7 +39,7 @@
     {
     }
 
-    /// All records there are; those that can't be read count for nothing, as for daemons.
+    /// All records of the topic; unreadable records are ignored, as daemons do.
     Result<SuspectTable> read_all()
     {
         SuspectTable table;
@@ -67,14 +67,14 @@
         if (response.status == kOk)
             return {};
         return fail(ErrorKind::UpstreamFailed,
-                    "the platform's store answers " + std::to_string(response.status));
+                    "the platform's store answered " + std::to_string(response.status));
     }
 
 private:
     HttpResponse call(HttpRequest request)
     {
         CallOptions options;
-        options.deadline_us = monotonic_us() + kAnswerLimit;
+        options.deadline_us = monotonic_us() + kAnswerTimeout;
         options.send_clock = false;
         CallResult result
             = run(m_io, m_client.call(m_address, std::move(request), options));
@@ -100,7 +100,7 @@
 {
     const auto table = SuspectLog(options.platform).read_all();
     if (!table)
-        return unavailable(table.error());
+        return report_unavailable(table.error());
     const SuspectViewPtr suspects = table->view();
     json::array lines;
     for (const auto& [digest, suspicion] : suspects->suspicions())
@@ -117,7 +117,8 @@
     return kExitOk;
 }
 
-/// As if it had been answered whole: it is sent again, and three more ends quarantine it.
+/// Records a complete answer: the request is sent again, and three more ends of upstreams
+/// quarantine it again.
 SuspectRecord
 release_of(const RequestDigest& digest)
 {
@@ -126,7 +127,7 @@
     return record;
 }
 
-/// As if upstreams had ended under it and nothing else, under names that none has.
+/// Records ends of upstreams that ran only this request, under names that no upstream has.
 SuspectRecord
 quarantine_of(const RequestDigest& digest)
 {
@@ -142,12 +143,13 @@
 {
     const std::string bytes = from_hex(text);
     if (bytes.size() != RequestDigest::kBytes) {
-        std::cerr << "'" << text << "' is no digest: logs name it in run_broken\n";
+        std::cerr << "'" << text
+                  << "' is not a request digest; see the event run_broken in the logs\n";
         return kExitUsage;
     }
     const auto done = SuspectLog(options.platform).append(record_of(digest_from(bytes)));
     if (!done)
-        return unavailable(done.error());
+        return report_unavailable(done.error());
     std::cout << text << ": told\n";
     return kExitOk;
 }
@@ -155,16 +157,16 @@
 } // namespace
 
 int
-quarantine_command(const std::vector<std::string>& words, const CommandOptions& options)
+quarantine_command(const std::vector<std::string>& arguments, const CommandOptions& options)
 {
-    const std::string verb = words.empty() ? "" : words[0];
-    const std::size_t count = words.size();
+    const std::string verb = arguments.empty() ? "" : arguments[0];
+    const std::size_t count = arguments.size();
     if (verb == "list" && count == 1)
         return list(options);
     if (verb == "release" && count == 2)
-        return append(words[1], release_of, options);
+        return append(arguments[1], release_of, options);
     if (verb == "add" && count == 2)
-        return append(words[1], quarantine_of, options);
+        return append(arguments[1], quarantine_of, options);
     std::cerr << "usage: cypressford quarantine list|release|add ...\n";
     return kExitUsage;
 }
--- a/src/cypressford/timeline.cpp
+++ b/src/cypressford/timeline.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Merges the logs of all processes into one time line, ordered by the hybrid
-/// logical clock: what caused something always stands before it.
+/// Merges the logs of all processes into one timeline, ordered by the hybrid logical clock:
+/// a cause always precedes its effects.
 
 #include "commands.h"
 
@@ -22,9 +22,9 @@
 
 namespace {
 
-/// True if the line is about the request, alone or among others.
+/// True if the event concerns the request, alone or among others.
 bool
-names_request(const LoggedEvent& event, const std::string& request)
+concerns_request(const LoggedEvent& event, const std::string& request)
 {
     for (const char* key : {"request", "requests"}) {
         const auto it = event.fields.find(key);
@@ -37,7 +37,7 @@
     return false;
 }
 
-/// Trace Event Format, which browsers' trace viewers open.
+/// Trace Event Format, which can be opened in browsers' trace viewers.
 json::object
 to_trace(const std::vector<LoggedEvent>& events)
 {
@@ -61,12 +61,12 @@
             args[key] = value;
         const double end_us
             = static_cast<double>(event.stamp >> HybridClock::kCounterBits) * 1000;
-        const double took = std::strtod(get("us").c_str(), nullptr);
+        const double duration_us = std::strtod(get("us").c_str(), nullptr);
         // An event with a duration is logged at its end.
         trace.push_back(json::object {{"name", get("event")},
-                                      {"ph", took > 0 ? "X" : "i"},
-                                      {"ts", end_us - took},
-                                      {"dur", took},
+                                      {"ph", duration_us > 0 ? "X" : "i"},
+                                      {"ts", end_us - duration_us},
+                                      {"dur", duration_us},
                                       {"pid", it->second},
                                       {"tid", 1},
                                       {"s", "p"},
@@ -86,7 +86,7 @@
         return kExitUsage;
     if (!options.request.empty())
         std::erase_if(events, [&options](const LoggedEvent& event) {
-            return !names_request(event, options.request);
+            return !concerns_request(event, options.request);
         });
     sort_events(events);
     if (options.json) {
