--- a/testsuite/boot_time.sh
+++ b/testsuite/boot_time.sh
@@ -2,15 +2,15 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Fails if a daemon or library reads a clock, or waits by one, that stands still while the
-# node is suspended.  Tools that only measure may.
+# Fails if a daemon or library uses a clock or timer that stops while the node is suspended.
+# Load, stand-in and benchmark tools are exempt, since they only measure.
 
 set -euo pipefail
 cd "$1"
 if grep -rnE 'steady_clock|steady_timer|tcp_stream|high_resolution_clock|CLOCK_MONOTONIC' \
     src platform --include='*.cpp' --include='*.h' \
   | grep -vE '_test\.cpp:|^src/(load|standin|bench)/'; then
-  echo "a clock that stands still in a suspension; BootClock and BootTimer go on" >&2
+  echo "clock or timer that stops during a suspension; use BootClock or BootTimer" >&2
   exit 1
 fi
-echo "clocks: all go on in a suspension"
+echo "clocks: all run during a suspension"
--- a/testsuite/callers/run.py
+++ b/testsuite/callers/run.py
@@ -2,8 +2,9 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What callers and operators see: refusals, keys, streams that outlive a daemon,
-bounds on what one caller may take, settings, the time line, TLS between peers."""
+"""Behaviour visible to callers and operators: refusals, idempotency keys, streams that survive
+the loss of a daemon, limits on what one caller can occupy, settings, the timeline, TLS between
+peers."""
 
 import json
 import pathlib
@@ -35,12 +36,13 @@
     return status, answer_headers, json.loads(text) if text else {}
 
 
-def expect(name, got, want):
-    assert got == want, f"{name}: got {got}, want {want}"
+def expect_equal(name, got, expected):
+    assert got == expected, f"{name}: got {got}, expected {expected}"
 
 
 def expect_problem(name, answer, status, kind, ran):
-    expect(name, (answer[0], answer[2].get("kind"), answer[2].get("ran")), (status, kind, ran))
+    expect_equal(name, (answer[0], answer[2].get("kind"), answer[2].get("ran")),
+                 (status, kind, ran))
 
 
 def check_refusals(address):
@@ -63,14 +65,14 @@
     ]
     for name, answer, status, kind in cases:
         if answer[0] == 0 and kind == "too_large":
-            continue  # the kernel may reset the sender before it reads the answer
-        expect(name, answer[0], status)
+            continue  # the kernel may reset the connection before the client reads the answer
+        expect_equal(name, answer[0], status)
         if kind:
             expect_problem(name, answer, status, kind, "not_run")
 
 
-def raw(address, data, wait_s=8):
-    """What a server answers to raw bytes, until it closes."""
+def send_raw(address, data, wait_s=8):
+    """Answer of a server to raw bytes, read until it closes the connection."""
     host, port = address.split(":")
     with socket.create_connection((host, int(port)), timeout=wait_s) as sock:
         sock.sendall(data)
@@ -83,31 +85,32 @@
         return answer.decode(errors="replace")
 
 
-def check_bounds(address):
-    assert " 400 " in raw(address, b"NO HTTP AT ALL\r\n\r\n").split("\r\n")[0]
+def check_limits(address):
+    assert " 400 " in send_raw(address, b"NO HTTP AT ALL\r\n\r\n").split("\r\n")[0]
     header = b"GET /health HTTP/1.1\r\nX-Long: " + b"a" * 40_000 + b"\r\n\r\n"
-    assert " 413 " in raw(address, header).split("\r\n")[0]
-    # A slow caller is told, and costs others nothing meanwhile.
-    slow = raw(address, b"POST /v1/pipelines/scan-lookup HTTP/1.1\r\nHost: a\r\n")
+    assert " 413 " in send_raw(address, header).split("\r\n")[0]
+    # A slow caller gets a 408 and does not delay other callers.
+    slow = send_raw(address, b"POST /v1/pipelines/scan-lookup HTTP/1.1\r\nHost: a\r\n")
     assert " 408 " in slow.split("\r\n")[0], slow
-    expect("another caller", post(address, "scan-lookup", "x", "couriers")[0], 200)
+    expect_equal("another caller", post(address, "scan-lookup", "x", "couriers")[0], 200)
 
 
 def check_keys(first, second, labels):
     key = {"Idempotency-Key": uuid7()}
     once = post(first, "label-print", "parcel 1", "depots", **key)
-    expect("first", once[0], 200)
+    expect_equal("first", once[0], 200)
     again = post(second, "label-print", "parcel 1", "depots", **key)
-    expect("replay", (again[0], again[2]), (200, once[2]))
-    expect("said to be one", again[1].get("Idempotent-Replayed"), "true")
+    expect_equal("replay", (again[0], again[2]), (200, once[2]))
+    expect_equal("marked as a replay", again[1].get("Idempotent-Replayed"), "true")
     expect_problem("other body", post(second, "label-print", "parcel 2", "depots", **key),
                    422, "key_mismatch", "unknown")
     runs = {k: n for a in labels for k, n in control(a)["runs_by_key"].items()}
-    expect("runs", runs.get("depots/" + key["Idempotency-Key"]), 1)
+    expect_equal("runs", runs.get("depots/" + key["Idempotency-Key"]), 1)
 
 
 def check_unknown(first, second, labels):
-    """The one run is cut off: nobody runs it again, and nobody says not run."""
+    """The connection of a keyed call breaks while it runs: it must not run again, and must not
+    be reported as not run."""
     for address in labels:
         control(address, cut=True)
     key = {"Idempotency-Key": uuid7()}
@@ -119,14 +122,14 @@
     def settled():
         answer = post(second, "label-print", "parcel 3", "depots", **key)
         return answer[2].get("kind") == "outcome_unknown"
-    wait_until(settled, "the outcome to be known as unknown", 10)
+    wait_until(settled, "the outcome to be recorded as unknown", 10)
     runs = sum(control(a)["runs_by_key"].get("depots/" + key["Idempotency-Key"], 0)
                for a in labels)
-    expect("runs of a cut call", runs, 1)
+    expect_equal("runs of a cut call", runs, 1)
 
 
 def read_stream(address, body, account, stop_after=None, last_id=None):
-    """Text, last id and whether the stream came to its end."""
+    """Text, last event id, and whether the stream was complete."""
     host, port = address.split(":")
     token = f"Last-Event-ID: {last_id}\r\n" if last_id else ""
     request = (f"POST /v1/pipelines/shopper-chat HTTP/1.1\r\nHost: a\r\n{token}"
@@ -167,28 +170,28 @@
     forged = {"Last-Event-ID": token[:-2] + ("AA" if token[-2:] != "AA" else "BB")}
     expect_problem("forged token", post(second, path, body, "shoppers", **forged),
                    400, "token_invalid", "not_run")
-    # The daemon dies in the middle; another one carries on.
+    # The daemon is killed in the middle of the stream; another one resumes it.
     cluster.processes["n1"].kill()
     cluster.processes["n1"].wait()
     rest, _, ended = read_stream(second, body, "shoppers", last_id=token)
-    expect("resumed at another daemon", (part + rest, ended), (whole[0], True))
-    # The engine has forgotten the stream as well: the text is made anew.
+    expect_equal("resumed at another daemon", (part + rest, ended), (whole[0], True))
+    # The engine has dropped the stream as well, so the text is generated again.
     time.sleep(6)
     rest, _, ended = read_stream(second, body, "shoppers", last_id=token)
-    expect("made anew", (part + rest, ended), (whole[0], True))
+    expect_equal("generated again", (part + rest, ended), (whole[0], True))
     cluster.start_daemon("n1")
     cluster.wait_version(1, ["n1"])
 
 
 def check_engine_death(cluster, engines):
-    """Engines that break off at the end of a stream: the daemon goes on at
-    another one, and the caller sees one whole text."""
+    """Engines close the connection at the end of a stream: the daemon continues the text on
+    another engine, and the caller receives it complete."""
     address = cluster.callers("n2")[0]
     whole = read_stream(address, "long story", "shoppers")
     for engine in engines[:-1]:
         control(engine, cut=True)
     for _ in range(3):
-        expect("whole text", read_stream(address, "long story", "shoppers")[0], whole[0])
+        expect_equal("whole text", read_stream(address, "long story", "shoppers")[0], whole[0])
     for engine in engines[:-1]:
         control(engine, cut=False)
 
@@ -199,19 +202,19 @@
                     "platform: {log: '127.0.0.1:1', nodes: '127.0.0.1:1', spare: 1}\n"
                     "operators: [zz]\ndaemon_key: '00'\npolicy: {router: magic}\n")
     done = cluster.cli("settings", "check", str(path), check=False)
-    expect("exit code", done.returncode, 2)
+    expect_equal("exit code", done.returncode, 2)
     for word in ("threads", "nowhere", "spare", "zz", "daemon_key", "magic"):
-        assert word in done.stderr, f"no fault about {word}: {done.stderr}"
+        assert word in done.stderr, f"no error about {word}: {done.stderr}"
     started = subprocess.run([cluster.program("cypressfordd"), f"--settings={path}"],
                              capture_output=True, timeout=20)
-    expect("daemon with faulty settings", started.returncode, 2)
+    expect_equal("daemon with faulty settings", started.returncode, 2)
     logs = [str(cluster.dir / f"{name}.log") for name in ("n1", "n2", "standin")]
     lines = cluster.cli("timeline", *logs).splitlines()
     stamps = [line.split()[0] for line in lines]
     assert len(lines) > 20 and stamps == sorted(stamps)
     trace = json.loads(cluster.cli("timeline", "--output=json", *logs))
     assert len(trace["traceEvents"]) > len(lines)
-    # A call stands before its run at the upstream, and its end behind it.
+    # The upstream's run must stand before the end of its request in the timeline.
     run = next(i for i, line in enumerate(lines) if "event=run" in line)
     key = lines[run].split("key=")[1].split("/")[-1]
     end = next(i for i, line in enumerate(lines) if "event=request_end" in line and key in line)
@@ -235,8 +238,8 @@
 
 
 def check_tls(cluster):
-    """Peers with certificates of one authority find each other; one of another
-    authority stays alone."""
+    """Peers with certificates of one authority discover each other; a daemon with a
+    certificate of another authority must not be admitted."""
     names = ["t1", "t2", "t3"]
     cluster.plan_daemons({"tls": names})
     for name in names:
@@ -248,18 +251,19 @@
         text = http(cluster.callers(name)[0], "/metrics")[2]
         at = text.find("\ncypressford_hall_daemons ")
         return text[at + 1:].split("\n")[0].split(" ")[1] if at >= 0 else ""
-    wait_until(lambda: members("t1") == "2" and members("t2") == "2", "peers to meet")
-    # The stranger may still be starting when the two have met.
-    wait_until(lambda: members("t3") != "", "the stranger to serve")
-    expect("a stranger's view", members("t3"), "1")
+    wait_until(lambda: members("t1") == "2" and members("t2") == "2",
+               "the peers of one authority to discover each other")
+    # The third daemon may still be starting at this point.
+    wait_until(lambda: members("t3") != "", "the daemon of the other authority to serve")
+    expect_equal("members seen by the daemon of the other authority", members("t3"), "1")
 
 
 def check_second_signal(cluster):
     process = cluster.processes["n2"]
     process.send_signal(signal.SIGTERM)
-    wait_until(lambda: http(cluster.callers("n2")[0], "/ready")[0] != 200, "readiness to fall")
+    wait_until(lambda: http(cluster.callers("n2")[0], "/ready")[0] != 200, "n2 to become unready")
     process.send_signal(signal.SIGTERM)
-    expect("exit code", process.wait(timeout=10), 0)
+    expect_equal("exit code", process.wait(timeout=10), 0)
 
 
 def main():
@@ -278,7 +282,7 @@
         first, second = cluster.callers("n1", "n2")
         where = d.addresses(sets)
         check_refusals(first)
-        check_bounds(first)
+        check_limits(first)
         check_keys(first, second, where["d-labels"])
         check_unknown(first, second, where["d-labels"])
         check_sessions(cluster, where["d-engines"])
--- a/testsuite/capacity/run.py
+++ b/testsuite/capacity/run.py
@@ -2,9 +2,9 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Slopes of the control work of real daemons on loopback: processor time,
-memory and bytes of a daemon without callers, over the number of daemons and of
-upstreams in its hall.  Prints one line of key=value for each size."""
+"""Cost of the control work of real daemons on loopback: processor time, memory and bytes of a
+daemon without callers, by the number of daemons and of upstreams in its hall.  Prints one line
+of key=value for each size."""
 
 import os
 import pathlib
@@ -53,10 +53,10 @@
         bundle = {"name": "daily", "version": 1, "builds_on": 0, "models": [],
                   "upstreams": d.bundle_sets(sets), "pipelines": pipelines,
                   "accounts": [account(f"a{i}") for i in range(accounts)]}
-        began = time.monotonic()
+        started = time.monotonic()
         cluster.publish(bundle)
         cluster.wait_version(1)
-        in_force_s = time.monotonic() - began
+        in_force_s = time.monotonic() - started
         time.sleep(SETTLE_S)
         pids = [cluster.processes[n].pid for n in names]
         cpu, network, start = [cpu_seconds(p) for p in pids], loopback_bytes(), time.monotonic()
@@ -65,10 +65,10 @@
         used = [(cpu_seconds(p) - c) / span for p, c in zip(pids, cpu)]
         rate = (loopback_bytes() - network) / span / daemons
         bundle.update(version=2, builds_on=1)
-        began = time.monotonic()
+        started = time.monotonic()
         cluster.publish(bundle)
         cluster.wait_version(2)
-        roll_s = time.monotonic() - began
+        roll_s = time.monotonic() - started
         print(f"daemons={daemons} upstreams={upstreams} accounts={accounts} "
               f"core_percent={100 * sum(used) / daemons:.2f} "
               f"resident_mb={max(resident_mb(p) for p in pids):.1f} "
--- a/testsuite/common/cluster.py
+++ b/testsuite/common/cluster.py
@@ -3,8 +3,8 @@
 
 """Starts stand-ins and daemons on loopback for tests, demos and measurements.
 
-Configurations are written as JSON, which is YAML too.  Only the standard
-library is used.  Everything that was started is ended by its process id.
+Configurations are written as JSON, which is valid YAML.  Only the standard
+library is used.  All processes that were started are terminated by process id.
 """
 
 import fcntl
@@ -26,15 +26,15 @@
 
 
 PORT_BLOCK = 1500
-PORTS_FROM = 12000  # below the range that the kernel gives out itself
+FIRST_PORT = 12000  # below the kernel's range of ephemeral ports
 PORT_BLOCKS = 12
 _held_blocks = []
 
 
 def free_ports():
-    """A block of ports that no other test on this machine uses.  Free ports alone
-    are not enough: daemons share a port on purpose, so two tests that took the same
-    one would not notice, and would answer each other's calls."""
+    """A block of ports that no other test on this machine uses.  Checking for free ports
+    is not enough: daemons share a port on purpose (SO_REUSEPORT), so two tests on the same
+    port would both start and answer each other's calls."""
     for block in range(PORT_BLOCKS):
         lock = open(pathlib.Path(tempfile.gettempdir()) / f"cypressford-ports-{block}.lock", "w")
         try:
@@ -42,8 +42,8 @@
         except OSError:
             lock.close()
             continue
-        _held_blocks.append(lock)  # until this process ends
-        first = PORTS_FROM + block * PORT_BLOCK
+        _held_blocks.append(lock)  # held until this process ends
+        first = FIRST_PORT + block * PORT_BLOCK
         return (port for port in range(first, first + PORT_BLOCK) if is_free(port))
     raise RuntimeError("no free block of ports")
 
@@ -58,7 +58,7 @@
 
 
 def wait_until(condition, what, seconds=30):
-    """Waits for a condition; its absence is a failure, not a delay."""
+    """Waits until a condition holds; raises an error after `seconds`."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         if condition():
@@ -68,7 +68,7 @@
 
 
 def http(address, path, body=None, headers=None, timeout=10):
-    """Status, headers and body of one call; status 0 if there was no answer."""
+    """Status, headers and body of the answer to one call; status 0 if there was none."""
     data = None if body is None else (body if isinstance(body, bytes) else body.encode())
     request = urllib.request.Request(f"http://{address}{path}", data=data, headers=headers or {})
     try:
@@ -81,7 +81,7 @@
 
 
 def control(address, **faults):
-    """Switches faults of a stand-in, or just reads its counters."""
+    """Sets faults of a stand-in, or only reads its counters."""
     body = json.dumps(faults) if faults else None
     return json.loads(http(address, "/control", body)[2])
 
@@ -91,7 +91,7 @@
 
 
 class Cluster:
-    """Programs of one build directory, running in one scratch folder."""
+    """Processes of one build directory, running in one temporary folder."""
 
     def __init__(self, build, name, keep=False):
         self.build = pathlib.Path(build).resolve()
@@ -147,7 +147,7 @@
         probe = self.platform if platform is not None else upstreams[0]["address"]
         wait_until(lambda: http(probe, "/control")[0] == 200, f"stand-in {name}")
 
-    def settings(self, name, hall, peers, **more):
+    def settings(self, name, hall, peers, **overrides):
         settings = {
             "node": name,
             "hall": hall,
@@ -159,7 +159,7 @@
             "daemon_key": DAEMON_KEY,
             "log": {"file": f"{self.dir}/{name}.log", "level": "info"},
         }
-        for key, value in more.items():
+        for key, value in overrides.items():
             if isinstance(value, dict):
                 settings.setdefault(key, {}).update(value)
             else:
@@ -167,17 +167,17 @@
         return settings
 
     def plan_daemons(self, halls):
-        """`halls` maps a hall to the names of its daemons; gives out addresses."""
+        """Assigns addresses; `halls` maps a hall to the names of its daemons."""
         for hall, names in halls.items():
             for name in names:
                 self.daemons[name] = {"hall": hall, "callers": self.address(),
                                       "peers": self.address()}
 
-    def start_daemon(self, name, **more):
+    def start_daemon(self, name, **overrides):
         hall = self.daemons[name]["hall"]
         peers = [d["peers"] for n, d in self.daemons.items() if d["hall"] == hall and n != name]
         path = self.dir / f"{name}.yaml"
-        path.write_text(json.dumps(self.settings(name, hall, peers, **more)))
+        path.write_text(json.dumps(self.settings(name, hall, peers, **overrides)))
         return self.spawn(name, self.program("cypressfordd"), f"--settings={path}")
 
     def callers(self, *names):
--- a/testsuite/common/deployments.py
+++ b/testsuite/common/deployments.py
@@ -1,9 +1,9 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The two users' deployments at their sizes of today, as bundles and stand-ins.
+"""The two users' deployments at their present sizes, as bundles and stand-ins.
 
-Service times are the stand-ins' own; they keep the relations between stages
+Service times are those of the stand-ins: they keep the proportions between stages
 (a lookup is short, a summary long) and let a run finish in seconds.
 """
 
@@ -11,7 +11,7 @@
 
 
 def upstream_sets(cluster, halls, sizes):
-    """Addresses for each set, spread over the halls in turn."""
+    """Addresses for each set, assigned to the halls in turn."""
     sets = {}
     for name, (count, spec) in sizes.items():
         by_hall = {hall: [] for hall in halls}
@@ -22,7 +22,7 @@
 
 
 def standins(sets):
-    """Stand-in configurations for sets, each with a seed of its own."""
+    """Stand-in configurations for sets, each with its own seed."""
     result = []
     for spec in sets.values():
         for addresses in spec["halls"].values():
--- a/testsuite/demo/run.py
+++ b/testsuite/demo/run.py
@@ -2,8 +2,8 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""The whole path: stand-ins, three daemons, a signed bundle, a bounded load over
-both deployments' pipelines, and a planned stop of one daemon in the middle."""
+"""The complete path: stand-ins, three daemons, a signed bundle, a bounded load over
+both deployments' pipelines, and a planned stop of one daemon during the load."""
 
 import pathlib
 import signal
@@ -40,7 +40,7 @@
         print(load.communicate(timeout=60)[0], end="")
         stopped = cluster.processes["n2"].wait(timeout=40)
         if stopped != 0:
-            print(f"n2 ended with {stopped}")
+            print(f"n2 exited with code {stopped}")
         return load.returncode or stopped
 
 
--- a/testsuite/halls/run.py
+++ b/testsuite/halls/run.py
@@ -2,10 +2,10 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Nine daemons in three halls under load, while daemons are killed, paused and
-replaced, halls are cut off from the platform, the log goes away, answers of the
-log are lost, an upstream leaves, a hall is evacuated and two operators race.  Nothing may be lost,
-doubled or misdelivered, and the same bundle must be in force everywhere within
+"""Nine daemons in three halls under load, while daemons are killed, suspended and replaced, a
+hall is cut off from the platform, the log is unreachable, answers of the log are lost, an
+upstream leaves, a hall is evacuated and two operators publish at the same time.  No request may
+be lost, run twice or misdelivered, and all daemons must have the same bundle in force within
 four seconds of the end of a cut."""
 
 import pathlib
@@ -21,7 +21,7 @@
 DURATION_S = 32
 HALLS = {"h1": ["n1", "n2", "n3"], "h2": ["n4", "n5", "n6"], "h3": ["n7", "n8", "n9"]}
 IN_FORCE_S = 4
-LEAVING_BOUND_S = 3
+LEAVING_LIMIT_S = 3
 
 
 def sizes():
@@ -45,8 +45,8 @@
     return result
 
 
-def race(cluster, sets, version):
-    """Two operators publish on the same base; exactly one of them wins."""
+def publish_concurrently(cluster, sets, version):
+    """Two operators publish on the same base version; exactly one of them must succeed."""
     key = f"--key={cluster.dir}/operator.pem"
     platform = f"--platform={cluster.platform}"
     codes = []
@@ -55,30 +55,30 @@
         path = cluster.write_bundle(bundle, f"race-{deadline}.yaml")
         codes.append(cluster.cli("bundle", "publish", platform, key, str(path),
                                  check=False).returncode)
-    assert sorted(codes) == [0, 1], f"both or none of two racing publishes won: {codes}"
+    assert sorted(codes) == [0, 1], f"not exactly one of two publishes succeeded: {codes}"
     cluster.cli("bundle", "roll", platform, key, "daily", str(version))
 
 
-def start(cluster, name):
+def start_daemon(cluster, name):
     cluster.start_daemon(name, threads=1)
 
 
 def replace_daemons(cluster):
-    """One is killed, one is frozen for a while, one is new."""
+    """n1 is killed and replaced, n5 is suspended for four seconds."""
     cluster.processes["n1"].kill()
     cluster.processes["n5"].send_signal(signal.SIGSTOP)
     time.sleep(2)
-    start(cluster, "n1")
+    start_daemon(cluster, "n1")
     time.sleep(2)
     cluster.processes["n5"].send_signal(signal.SIGCONT)
 
 
-def leave(cluster, sets):
-    """An upstream leaves; after the bound it sees no new work."""
+def check_leaving(cluster, sets):
+    """An upstream leaves; after the limit it must not receive new calls."""
     address = sets["d-tracking"]["halls"]["h1"][0]
     control(address, leaving=True)
     control(cluster.platform, node=address, state="leaving")
-    time.sleep(LEAVING_BOUND_S)
+    time.sleep(LEAVING_LIMIT_S)
     before = control(address)["after_leaving"]
     time.sleep(1)
     after = control(address)["after_leaving"]
@@ -86,36 +86,36 @@
 
 
 def cut_and_roll(cluster, sets):
-    """While one hall is cut off a new bundle is rolled; when the cut ends, the
-    hall must catch up in time.  A daemon that is replaced during the cut takes
-    the bundle from its hall."""
+    """A bundle is rolled while one hall is cut off; when the cut ends, the hall must
+    apply the bundle in time.  A daemon that is replaced during the cut must get the
+    earlier bundle from the peers of its hall."""
     control(cluster.platform, cut_halls=["h2"])
-    race(cluster, sets, 2)
+    publish_concurrently(cluster, sets, 2)
     cluster.wait_version(2, HALLS["h1"] + HALLS["h3"], IN_FORCE_S)
     cluster.processes["n6"].kill()
     cluster.processes["n6"].wait()
-    start(cluster, "n6")
+    start_daemon(cluster, "n6")
     cluster.wait_version(1, ["n6"], 8)
-    print("a fresh daemon of the cut hall took the bundle from its peers")
+    print("a new daemon of the cut-off hall got the bundle from its peers")
     control(cluster.platform, cut_halls=[])
-    began = time.monotonic()
+    started = time.monotonic()
     cluster.wait_version(2, None, IN_FORCE_S)
-    print(f"in force everywhere {time.monotonic() - began:.2f} s after the cut")
+    print(f"in force everywhere {time.monotonic() - started:.2f} s after the cut")
 
 
-def evacuated(cluster, halls):
+def evacuation_applied(cluster, halls):
     line = f"\ncypressford_evacuated_halls {halls}\n"
     return all(line in http(address, "/metrics")[2] for address in cluster.callers())
 
 
-def evacuate(cluster, sets):
-    """Nothing new goes to an evacuated hall, and it is used again later."""
+def check_evacuation(cluster, sets):
+    """An evacuated hall must get no new calls, and must be used again afterwards."""
     hall = "h3"
     words = (f"--platform={cluster.platform}", f"--key={cluster.dir}/operator.pem",
              f"--trust={cluster.public_key}", hall)
     lookups = sets["d-tracking"]["halls"][hall][0]
     cluster.cli("hall", "evacuate", *words)
-    wait_until(lambda: evacuated(cluster, 1), "the evacuation in force", IN_FORCE_S)
+    wait_until(lambda: evacuation_applied(cluster, 1), "the evacuation to be in force", IN_FORCE_S)
     assert cluster.cli("hall", "list", *words[:3]) == f"{hall} evacuated\n"
     time.sleep(0.5)
     before = control(lookups)["runs"]
@@ -123,12 +123,12 @@
     runs = control(lookups)["runs"]
     assert runs == before, f"{runs - before} calls in an evacuated hall"
     cluster.cli("hall", "end-evacuation", *words)
-    wait_until(lambda: evacuated(cluster, 0), "the end of the evacuation", IN_FORCE_S)
-    wait_until(lambda: control(lookups)["runs"] > runs, "calls in the hall again", 5)
-    print("a hall was evacuated and taken back")
+    wait_until(lambda: evacuation_applied(cluster, 0), "the evacuation to end", IN_FORCE_S)
+    wait_until(lambda: control(lookups)["runs"] > runs, "calls in the hall to resume", 5)
+    print("a hall was evacuated and used again")
 
 
-def log_faults(cluster):
+def inject_log_faults(cluster):
     control(cluster.platform, lose_answers=True)
     time.sleep(1.5)
     control(cluster.platform, lose_answers=False, outage=True)
@@ -142,7 +142,7 @@
         cluster.start_standins(d.standins(sets), platform={})
         cluster.plan_daemons(HALLS)
         for name in cluster.daemons:
-            start(cluster, name)
+            start_daemon(cluster, name)
         cluster.publish(d.make_bundle(sets, pipelines()))
         cluster.wait_version(1)
         load = cluster.start_load({
@@ -152,17 +152,17 @@
             "standins": d.addresses(sets)})
         time.sleep(2)
         replace_daemons(cluster)
-        leave(cluster, sets)
+        check_leaving(cluster, sets)
         cut_and_roll(cluster, sets)
-        evacuate(cluster, sets)
-        log_faults(cluster)
+        check_evacuation(cluster, sets)
+        inject_log_faults(cluster)
         cluster.processes["n9"].send_signal(signal.SIGTERM)
         print(load.communicate(timeout=90)[0], end="")
-        assert load.returncode == 0, "something was lost, doubled, misdelivered or cut"
+        assert load.returncode == 0, "requests were lost, run twice, misdelivered or cut"
         assert cluster.processes["n9"].wait(timeout=40) == 0
         running = [n for n in cluster.daemons if n != "n9"]
         wait_until(lambda: all(cluster.processes[n].poll() is None for n in running),
-                   "daemons to be alive", 1)
+                   "all other daemons to be running", 1)
     return 0
 
 
--- a/testsuite/measure/run.py
+++ b/testsuite/measure/run.py
@@ -2,9 +2,9 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""Attainment and cost of the present policy against two plain baselines, for
-both deployments at their sizes of today, under load and faults.  Prints one
-line of key=value for each run; docs/MEASUREMENTS.md holds tables of them."""
+"""Attainment and cost of the present policy against two simple baselines, for both
+deployments at their present sizes, under load and faults.  Prints one line of key=value
+for each run; docs/MEASUREMENTS.md has tables of them."""
 
 import argparse
 import json
@@ -29,7 +29,7 @@
     "present": {"router": "adaptive", "admission": "budget"},
 }
 
-# Slower than in the demo, so that an overload fits on one machine.
+# Service times are longer than in the demo, so that one machine can generate an overload.
 SIZES = {
     "daugava": {
         "d-engines": d.engine(20, 4, 25, 100, d.TOKENS),
@@ -48,7 +48,7 @@
     },
 }
 PIPELINES = {"daugava": d.pipelines_daugava, "avisa": d.pipelines_avisa}
-# Model work that the faults and bursts are about: pipeline to rate.
+# Requests per second of each pipeline, mostly model work, which the faults and bursts affect.
 RATES = {
     "daugava": {"scan-lookup": 120, "label-print": 30, "shopper-chat": 50, "claim-summary": 50},
     "avisa": {"push-alert": 60, "tag-reply": 40, "alert-draft": 60},
@@ -64,29 +64,29 @@
     return {name: [{"from_s": 2, "to_s": 6, "factor": factor}]}
 
 
-def no_fault(cluster, sets, which):
+def no_fault(cluster, sets, deployment):
     pass
 
 
-def slow_replica(cluster, sets, which):
-    control(sets[ENGINES[which]]["halls"]["h1"][0], slow=10)
+def slow_replica(cluster, sets, deployment):
+    control(sets[ENGINES[deployment]]["halls"]["h1"][0], slow=10)
 
 
-def lost_member(cluster, sets, which):
-    control(sets[ENCODERS[which]]["halls"]["h1"][0], hang=True)
+def lost_member(cluster, sets, deployment):
+    control(sets[ENCODERS[deployment]]["halls"]["h1"][0], hang=True)
 
 
-def lost_daemon(cluster, sets, which):
+def lost_daemon(cluster, sets, deployment):
     cluster.processes["n1"].kill()
 
 
-def log_out(cluster, sets, which):
+def log_outage(cluster, sets, deployment):
     control(cluster.platform, outage=True)
     time.sleep(3)
     control(cluster.platform, outage=False)
 
 
-def hall_cut(cluster, sets, which):
+def hall_cut(cluster, sets, deployment):
     control(cluster.platform, cut_halls=["h2"])
     time.sleep(3)
     control(cluster.platform, cut_halls=[])
@@ -101,43 +101,43 @@
     "slow-replica": (lambda w: {}, slow_replica),
     "lost-member": (lambda w: {}, lost_member),
     "lost-daemon": (lambda w: {}, lost_daemon),
-    "log-out": (lambda w: {}, log_out),
+    "log-out": (lambda w: {}, log_outage),
     "hall-cut": (lambda w: {}, hall_cut),
 }
 
 
-def run(build, which, scenario, policy):
+def run(build, deployment, scenario, policy):
     phases, fault = SCENARIOS[scenario]
     with Cluster(build, "measure") as cluster:
-        sets = d.upstream_sets(cluster, list(HALLS), SIZES[which])
+        sets = d.upstream_sets(cluster, list(HALLS), SIZES[deployment])
         cluster.start_standins(d.standins(sets), platform={})
         cluster.plan_daemons(HALLS)
         for name in cluster.daemons:
             cluster.start_daemon(name, threads=1, policy=POLICIES[policy])
-        bundle = d.make_bundle(sets, PIPELINES[which]())
+        bundle = d.make_bundle(sets, PIPELINES[deployment]())
         path = cluster.write_bundle(bundle)
         key, platform = f"--key={cluster.dir}/operator.pem", f"--platform={cluster.platform}"
         cluster.cli("bundle", "publish", platform, key, str(path))
         cluster.cli("bundle", "roll", platform, key, "daily", "1")
         cluster.wait_version(1)
-        loads = d.load_pipelines(list(RATES[which]), 1.0, phases(which))
+        loads = d.load_pipelines(list(RATES[deployment]), 1.0, phases(deployment))
         for load in loads:
-            load["rate"] = RATES[which][load["name"]]
+            load["rate"] = RATES[deployment][load["name"]]
         process = cluster.start_load({
             "daemons": cluster.callers(), "seed": 5, "duration_s": DURATION_S,
             "retry_lost": True, "pipelines": loads, "standins": d.addresses(sets)},
             output="json")
         time.sleep(FAULT_AT_S)
-        fault(cluster, sets, which)
+        fault(cluster, sets, deployment)
         report = json.loads(process.communicate(timeout=120)[0])
-    model = [p for p in report["pipelines"] if p["name"] in MODEL[which]]
+    model = [p for p in report["pipelines"] if p["name"] in MODEL[deployment]]
     bad = sum(report[k] for k in ("lost", "doubled", "misdelivered", "cut"))
-    print(f"deployment={which} scenario={scenario} policy={policy} "
+    print(f"deployment={deployment} scenario={scenario} policy={policy} "
           f"attainment={report['attainment']:.4f} urgent={report['urgent']:.4f} "
           f"attained={report['attained']} refused={report['refused']} "
           f"cost_ms={sum(report['cost_ms'].values()):.1f} "
           f"kinds={json.dumps(report['kinds'], separators=(',', ':'))} "
-          f"engine_s={report['cost_ms'][ENGINES[which]] * report['attained'] / 1000:.0f} "
+          f"engine_s={report['cost_ms'][ENGINES[deployment]] * report['attained'] / 1000:.0f} "
           f"p99_model_ms={max(p['p99_ms'] for p in model):.0f} violations={bad}", flush=True)
     return report
 
@@ -149,10 +149,10 @@
     parser.add_argument("--policies", default=",".join(POLICIES))
     parser.add_argument("--deployments", default="daugava,avisa")
     options = parser.parse_args()
-    for which in options.deployments.split(","):
+    for deployment in options.deployments.split(","):
         for scenario in options.scenarios.split(","):
             for policy in options.policies.split(","):
-                run(options.build, which, scenario, policy)
+                run(options.build, deployment, scenario, policy)
     return 0
 
 
--- a/testsuite/placement/run.py
+++ b/testsuite/placement/run.py
@@ -2,9 +2,9 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""One daemon of a hall loads models onto its engines. It is frozen, another one
-takes over, it wakes up again; it is killed while the log is out. Engines never
-see an order with an older fencing token after a newer one."""
+"""One daemon of a hall, the lease holder, loads models onto its engines.  It is suspended and
+another daemon takes over, then it is resumed; the new holder is killed during an outage of the
+log.  Engines must never receive an order with an older fencing token after a newer one."""
 
 import pathlib
 import re
@@ -26,12 +26,12 @@
 
 
 def wait_models(engines, count):
-    def loaded():
-        return all(len(eval_models(e)) >= count for e in engines)
-    wait_until(loaded, f"{count} models on each engine", 20)
+    def all_loaded():
+        return all(len(loaded_models(e)) >= count for e in engines)
+    wait_until(all_loaded, f"{count} models on each engine", 20)
 
 
-def eval_models(engine):
+def loaded_models(engine):
     return re.findall(r'"([^"]+)"', http(engine, "/v1/models")[2].split(":", 1)[1])
 
 
@@ -45,12 +45,13 @@
 
 
 def check_fences(cluster, engines):
-    """Fencing tokens that an engine accepted never go down."""
+    """Fencing tokens that an engine accepted must never decrease.  Returns the number of
+    different tokens at the last engine."""
     log = (cluster.dir / "standin.log").read_text()
     for engine in engines:
         fences = [int(f) for f in re.findall(rf"event=order address={engine} \S+ fence=(\d+)", log)]
         assert fences, f"no orders at {engine}"
-        assert fences == sorted(fences), f"{engine} took orders with fences {fences}"
+        assert fences == sorted(fences), f"{engine} accepted orders with decreasing fences {fences}"
     return len(set(fences))
 
 
@@ -69,7 +70,7 @@
         cluster.publish(bundle(sets, 1, ["claims"]))
         cluster.wait_version(1)
         wait_models(engines, 1)
-        wait_until(lambda: len(holders(cluster, names)) == 1, "one holder")
+        wait_until(lambda: len(holders(cluster, names)) == 1, "one lease holder")
         first = holders(cluster, names)[0]
         cluster.processes[first].send_signal(signal.SIGSTOP)
         others = [n for n in names if n != first]
@@ -79,17 +80,19 @@
         assert len(second) == 1, second
         cluster.processes[first].send_signal(signal.SIGCONT)
         cluster.wait_version(2)
-        wait_until(lambda: holders(cluster, names) == second, "the sleeper to know")
+        wait_until(lambda: holders(cluster, names) == second,
+                   "the resumed daemon to drop its lease")
         control(cluster.platform, outage=True)
         cluster.processes[second[0]].kill()
         cluster.processes[second[0]].wait()
         control(cluster.platform, outage=False)
-        left = [n for n in names if n != second[0]]
+        remaining = [n for n in names if n != second[0]]
         cluster.publish(bundle(sets, 3, ["claims", "notes", "alerts"]))
         wait_models(engines, 3)
-        assert len(holders(cluster, left)) == 1
-        tenures = check_fences(cluster, engines)
-        print(f"placement: three tenures, fences grew, {tenures} fences seen by the last engine")
+        assert len(holders(cluster, remaining)) == 1
+        fence_count = check_fences(cluster, engines)
+        print(f"placement: three lease holders, fences increased, "
+              f"{fence_count} fences at the last engine")
     return 0
 
 
--- a/testsuite/platform_names.sh
+++ b/testsuite/platform_names.sh
@@ -2,7 +2,7 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Fails if a name of the users' platform stands outside platform/ and deploy/.
+# Fails if a name of the users' platform occurs outside platform/ and deploy/.
 
 set -euo pipefail
 cd "$1"
@@ -11,7 +11,7 @@
 names+='|Store-Era|X-Cold-|allowed_regions|cold_start_s|cold_per_s|cold_remaining'
 names+='|keyed\.(op|servers)|log-(read|append|newest)|health_path|path_prefix"'
 if grep -rnE "$names" src testsuite --include='*' --exclude=platform_names.sh; then
-  echo "the platform's names stand outside platform/" >&2
+  echo "names of the platform occur outside platform/" >&2
   exit 1
 fi
 echo "names: only in platform/"
--- a/testsuite/settings.sh
+++ b/testsuite/settings.sh
@@ -2,7 +2,7 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Switches of the policy are a closed list: an unknown name is a fault, with its line.
+# `settings check` refuses an unknown or renamed policy switch or key, and names its line.
 #   settings.sh BUILD_DIRECTORY
 
 set -euo pipefail
@@ -29,19 +29,19 @@
 
 write_settings "hall_waits, hall_wait"
 if faults=$("$command" settings check "$file" 2>&1); then
-  echo "an unknown mechanism was taken"
+  echo "settings check accepted an unknown mechanism"
   exit 1
 fi
 grep -q ":9: without: no 'hall_wait' among: hall_waits whole_groups" <<< "$faults"
 
-# A name of an earlier version is refused with the name that took its place.
+# A renamed key or switch is refused, and the message states its current name.
 write_settings "stable_homes"
 cat >> "$file" <<YAML
 claims:
   outage_patience_ms: 500
 YAML
 if faults=$("$command" settings check "$file" 2>&1); then
-  echo "old names were taken"
+  echo "settings check accepted renamed keys"
   exit 1
 fi
 grep -q ":9: without: 'stable_homes' is now called 'stable_engines'" <<< "$faults"
--- a/testsuite/wire/check.py
+++ b/testsuite/wire/check.py
@@ -2,9 +2,9 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-"""What builds read of each other is only added to.
+"""Formats shared between builds may only be extended.
 
-    check.py            each line of landed/*.txt still holds; a planted change is found
+    check.py            each line of landed/*.txt still holds; known changes are detected
     check.py --list     the present lines, for landed/COMMIT.txt of a landing
 
 A line is a field of a message with its number and type, a value of an enumeration that crosses
@@ -16,11 +16,11 @@
 
 HERE = pathlib.Path(__file__).resolve().parent
 ROOT = HERE.parent.parent
-#: Enumerations whose values cross the wire as numbers, by the header that has them.
+#: Enumerations whose values cross the wire as numbers, with the header that defines each.
 ENUMERATIONS = {"DirectoryTopic": "src/include/cypressford/directory.h",
                 "PieceOutcome": "src/include/cypressford/call_dialect.h",
                 "ClaimOutcome": "src/include/cypressford/scheduler.h"}
-#: Files whose text constants other builds, or records in the store, rely on.
+#: Files with text constants that other builds or records in the store depend on.
 CONSTANTS = {"src/libserve/peers/peer_link.h": r"k\w*Path = (\"[^\"]+\")",
              "src/libserve/directory/directory_feed_server.h": r"k\w*Path = (\"[^\"]+\")",
              "platform/directory.cpp": r"(\"keyed\.cypressford[^\"]+\")"}
@@ -56,38 +56,38 @@
             yield f"text {value}"
 
 
-def lines_of(root):
+def collect_lines(root):
     return sorted({*fields(root), *values(root), *constants(root)})
 
 
-def broken(landed, present):
-    """Lines that hold no more."""
+def missing_lines(landed, present):
+    """Lines of a landing that are missing at present."""
     return [line for line in landed if line not in present]
 
 
-def check_planted(present):
-    """A renumbered field, a renamed topic and a value put in between are found."""
+def detects_known_changes(present):
+    """A renumbered field, a renamed topic and a value inserted before others are detected."""
     renumbered = [re.sub(r"(FeedRecord.key = )\d+", r"\g<1>9", line) for line in present]
     renamed = [line.replace("keyed.cypressford-daemons", "keyed.daemons") for line in present]
     shifted = [line.replace("PieceOutcome.Failed = 4", "PieceOutcome.Failed = 5")
                for line in present]
-    return all(broken(present, changed) for changed in (renumbered, renamed, shifted))
+    return all(missing_lines(present, changed) for changed in (renumbered, renamed, shifted))
 
 
 def main():
-    present = lines_of(ROOT)
+    present = collect_lines(ROOT)
     if "--list" in sys.argv:
         print("\n".join(present))
         return 0
     failed = 0
     for file in sorted((HERE / "landed").glob("*.txt")):
-        gone = broken(file.read_text().splitlines(), present)
-        print(f"{file.name}: {len(gone)} of its lines hold no more")
-        for line in gone:
+        missing = missing_lines(file.read_text().splitlines(), present)
+        print(f"{file.name}: {len(missing)} of its lines are missing now")
+        for line in missing:
             print(f"  {line}")
-        failed += len(gone)
-    if not check_planted(present):
-        print("a planted change was not found")
+        failed += len(missing)
+    if not detects_known_changes(present):
+        print("check.py did not detect a known change")
         failed += 1
     return 1 if failed else 0
 
