--- a/Makefile
+++ b/Makefile
@@ -6,8 +6,8 @@
 BUILD ?= build
 JOBS ?= $(shell nproc)
 
-# What another clone has compiled is found in the cache, too: the daemon of a landing is there in
-# 3 s in a second clean clone.
+# Shares compiler cache entries between clones: a second clean clone builds the daemon of a
+# landing in 3 s.
 export CCACHE_BASEDIR := $(CURDIR)
 export CCACHE_NOHASHDIR := 1
 
@@ -24,42 +24,43 @@
 build: $(BUILD)/build.ninja
 	@cmake --build $(BUILD) -j $(JOBS)
 
-# The whole path on the product's own interface, then on the users' platform.
+# The complete path on the product's own interface, then on the users' platform.
 demo: build
 	@python3 testsuite/demo/run.py $(BUILD)
 	@python3 platform/testing/run.py $(BUILD)
 
-# Tests that KNOWN-RED.txt lists (one line each: test, cause, issue) are passed over and
+# Tests that KNOWN-RED.txt lists (one line each: test, cause, issue) are not run; the list is
 # printed.
 KNOWN_RED := $(shell [ -s KNOWN-RED.txt ] && cut -d, -f1 KNOWN-RED.txt | paste -sd'|')
 test: build production
-	@[ -z "$(KNOWN_RED)" ] || { echo "passed over, known to be red:"; cat KNOWN-RED.txt; }
+	@[ -z "$(KNOWN_RED)" ] || { echo "not run, known failures:"; cat KNOWN-RED.txt; }
 	@cd $(BUILD) && ctest --output-on-failure -j 4 $(if $(KNOWN_RED),-E '^($(KNOWN_RED))$$')
 
-# The daemon of the landing before this one: nodes of both serve side by side while they are
-# replaced.  LANDING: another commit of landings.txt.
+# The daemon of the previous landing, for tests with nodes of both builds side by side.
+# LANDING: another commit of landings.txt.
 LANDING ?= $(shell grep -v '^\#' platform/testing/landings.txt | head -1)
 production: deps
 	@src/build-scripts/build-landing.sh $(LANDING) $(BUILD)/production/$(LANDING) $(JOBS)
 
-# Rolls from that landing to this build and half back, with the soak's faults, fresh seeds.
+# Rolling upgrades from that landing to this build, with half of the nodes rolled back on the
+# way, under the soak's faults with fresh seeds.
 upgrade: build production
 	@python3 platform/testing/upgrade.py $(BUILD) $(BUILD)/production/$(LANDING) \
 	  --seeds=$(shell expr $(MINUTES) \* 2)
 
-# Fuzzes for SECONDS with seeds that differ each time.
+# Fuzzes for SECONDS with a new seed each time.
 SECONDS ?= 60
 fuzz: build
 	@$(BUILD)/testsuite/fuzz/cypressford_fuzz --seconds=$(SECONDS) --seed=$$(date +%s)
 
-# Real daemons under random faults from outside, for about MINUTES with fresh seeds; one
+# Real daemons under random external faults, for about MINUTES with fresh seeds; a single
 # seed with SEED=N.
 MINUTES ?= 3
 soak: build
 	@python3 platform/testing/soak.py $(BUILD) $(if $(SEED),--seed=$(SEED),\
 	  --seeds=$(shell expr $(MINUTES) \* 8) --jobs=3)
 
-# libFuzzer over what crosses from outside, for SECONDS.
+# Fuzzes the parsers of external input with libFuzzer, for SECONDS.
 fuzz-inputs: deps
 	@cmake -G Ninja -S . -B build-libfuzzer -DCMAKE_CXX_COMPILER=clang++-16 \
 	  -DCYPRESSFORD_LIBFUZZER=ON > /dev/null
@@ -76,12 +77,12 @@
 	@build-$@/testsuite/fuzz/cypressford_fuzz --cases=60
 	@src/build-scripts/sanitized-demo.sh build-$@
 
-# The slopes of docs/CAPACITY.md, about three minutes.
+# The capacity slopes of docs/CAPACITY.md, about three minutes.
 capacity: build
 	@$(BUILD)/src/bench/cypressford-bench
 	@python3 testsuite/capacity/run.py $(BUILD)
 
-# All of docs/MEASUREMENTS.md, about ten minutes.
+# All measurements of docs/MEASUREMENTS.md, about ten minutes.
 measure: build
 	@python3 testsuite/measure/run.py $(BUILD)
 
--- a/src/build-scripts/generate.sh
+++ b/src/build-scripts/generate.sh
@@ -2,7 +2,7 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Makes the committed code for messages and gRPC anew from the .proto file.
+# Regenerates the committed protobuf and gRPC code from the .proto file.
 
 set -euo pipefail
 cd "$(dirname "$0")/../proto"
--- a/src/build-scripts/install-deps.sh
+++ b/src/build-scripts/install-deps.sh
@@ -2,7 +2,7 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Installs what the build needs and is not there yet, from Debian's packages.
+# Installs missing build dependencies from Debian's packages.
 
 set -euo pipefail
 
--- a/src/build-scripts/lint.sh
+++ b/src/build-scripts/lint.sh
@@ -2,8 +2,8 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# clang-format and clang-tidy over the project's own sources; any finding fails.
-#   lint.sh BUILD_DIRECTORY [FILE...]   checks all files, or those named
+# clang-format and clang-tidy over the project's own sources; any finding is an error.
+#   lint.sh BUILD_DIRECTORY [FILE...]   checks all files, or the given ones
 #   lint.sh --fix             formats in place
 
 set -euo pipefail
--- a/src/build-scripts/sanitized-demo.sh
+++ b/src/build-scripts/sanitized-demo.sh
@@ -2,8 +2,8 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# The demo and the platform's path with sanitized daemons: any report of a sanitizer
-# fails, and is printed whatever became of the programs themselves.
+# Runs the demo and the platform test with sanitized daemons.  Any sanitizer report is
+# printed and fails the run, whatever the exit codes of the programs.
 #   sanitized-demo.sh BUILD_DIRECTORY
 
 set -euo pipefail
@@ -19,5 +19,5 @@
   cat "$reports"/*
   failed=1
 fi
-[ $failed = 0 ] && echo "no reports"
+[ $failed = 0 ] && echo "no sanitizer reports"
 exit $failed
--- a/src/cmake/compiler.cmake
+++ b/src/cmake/compiler.cmake
@@ -29,16 +29,16 @@
   set(CMAKE_CXX_COMPILER_LAUNCHER ${CCACHE_PROGRAM})
 endif()
 
-# Warnings are for the project's own code, not for generated files.
+# Warnings apply to the project's own code, not to generated files.
 add_library(cypressford_warnings INTERFACE)
 target_compile_options(cypressford_warnings INTERFACE -Wall -Wextra -Wpedantic -Werror)
-# GCC 12 reports this of std::optional inside std::variant, wrongly (GCC bug 80635).
+# GCC 12 reports a false positive for std::optional inside std::variant (GCC bug 80635).
 if(CMAKE_CXX_COMPILER_ID STREQUAL "GNU")
   target_compile_options(cypressford_warnings INTERFACE -Wno-maybe-uninitialized)
 endif()
-# With -fsanitize GCC 12 also reports, wrongly, an axis inside Boost.Histogram that the
-# constructor which it names does write, and coroutine frames of Asio, which are freed by
-# the function that belongs to their allocation.
+# With -fsanitize GCC 12 reports two more false positives: an axis inside Boost.Histogram,
+# which the reported constructor does initialize, and Asio's coroutine frames, which are
+# freed by the function that matches their allocation.
 if(CMAKE_CXX_COMPILER_ID STREQUAL "GNU" AND CYPRESSFORD_SANITIZE)
   target_compile_options(cypressford_warnings INTERFACE -Wno-uninitialized
     -Wno-mismatched-new-delete)
--- a/src/cmake/plugins.cmake
+++ b/src/cmake/plugins.cmake
@@ -1,8 +1,8 @@
 # Copyright (c) 2026 The cypressford authors.
 # SPDX-License-Identifier: Apache-2.0
 
-# A plug-in is a folder with one object library.  Its objects are linked whole,
-# so that the static objects that register it are not dropped.
+# A plug-in is a folder with one object library.  All of its objects are linked, so that
+# the static objects that register the plug-in are not dropped.
 
 set_property(GLOBAL PROPERTY CYPRESSFORD_PLUGINS "")
 
