--- a/src/bench/bench_control.cpp
+++ b/src/bench/bench_control.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What the control work of a daemon costs, by the size of what it handles.
+/// Cost of a daemon's control work, by the size of its input.
 
 #include <fstream>
 
@@ -40,7 +40,7 @@
     return batch;
 }
 
-/// Resident memory of this process.
+/// Resident memory of this process, in bytes.
 std::size_t
 resident_bytes()
 {
@@ -85,7 +85,8 @@
 
 } // namespace
 
-/// A claimer's reader: one record with so many claims and outcomes.
+/// Applies one record of claims and their outcomes to a claimer's ledger, by the number of
+/// claims.
 static void
 BM_ClaimRecord(benchmark::State& state)
 {
@@ -110,7 +111,7 @@
 }
 BENCHMARK(BM_ClaimRecord)->Arg(1)->Arg(10)->Arg(100)->Arg(1000)->Iterations(200);
 
-/// A new bundle, from the record in the log to a snapshot that workers read.
+/// Brings a new bundle into force, from its log record to the snapshot that workers read.
 static void
 BM_BundleInForce(benchmark::State& state)
 {
@@ -142,7 +143,7 @@
     ->Arg(10000)
     ->Unit(benchmark::kMillisecond);
 
-/// One round of gossip's arithmetic in a hall of so many daemons.
+/// Computation of one gossip round, by the number of daemons in the hall.
 static void
 BM_MembershipRound(benchmark::State& state)
 {
@@ -169,7 +170,7 @@
     ->Arg(200)
     ->Unit(benchmark::kMicrosecond);
 
-/// Memory of the ledger, over the number of keys.
+/// Memory of the ledger per key, by the number of keys.
 static void
 BM_LedgerMemory(benchmark::State& state)
 {
@@ -190,7 +191,7 @@
     ->Iterations(1)
     ->Unit(benchmark::kMillisecond);
 
-/// The token behind each streamed piece, on the path of data.
+/// Seals the session token that is sent with each streamed piece, on the data path.
 static void
 BM_SealToken(benchmark::State& state)
 {
--- a/src/bench/bench_directory.cpp
+++ b/src/bench/bench_directory.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one daemon keeps of the directory, by holder and by the number of upstreams.
+/// Memory of one daemon's directory, by component and number of upstreams.
 
 #include <malloc.h>
 
@@ -22,20 +22,20 @@
 
 namespace {
 
-constexpr std::size_t kRecordBytes = 250; ///< of an upstream's record, about
+constexpr std::size_t kRecordBytes = 250; ///< approximate size of an upstream's record
 constexpr int kHalls = 5;
-constexpr Micros kGrace = 3 * kSecond;
+constexpr Micros kRemovalGracePeriod = 3 * kSecond;
 
-/// Bytes that are allocated now, whatever the allocator keeps besides.
+/// Bytes in allocated blocks, without memory that the allocator holds in reserve.
 std::size_t
-live_bytes()
+allocated_bytes()
 {
     const struct mallinfo2 info = mallinfo2();
     return info.uordblks + info.hblkhd;
 }
 
 DirectoryRecord
-record_of(int upstream, int sequence)
+make_record(int upstream, int sequence)
 {
     std::string value = std::to_string(sequence);
     value.resize(kRecordBytes, ' ');
@@ -44,45 +44,45 @@
 }
 
 std::vector<DirectoryRecord>
-records_of(int upstreams)
+make_records(int upstreams)
 {
     std::vector<DirectoryRecord> records;
     records.reserve(static_cast<std::size_t>(upstreams));
     for (int i = 0; i < upstreams; ++i)
-        records.push_back(record_of(i, 1));
+        records.push_back(make_record(i, 1));
     return records;
 }
 
 Bundle
-one_set()
+make_single_set_bundle()
 {
     const TextDialect dialect;
     return *dialect.decode_configuration({"config", "1"});
 }
 
-/// Builds a holder and notes what it takes, for each upstream and in all.
+/// Builds an object and reports its memory in bytes, in total and per upstream.
 template <class Build>
 void
-measure(benchmark::State& state, Build&& build)
+measure_memory(benchmark::State& state, Build&& build)
 {
     const auto upstreams = static_cast<double>(state.range(0));
     std::size_t bytes = 0;
     for (auto _ : state) {
-        const std::size_t before = live_bytes();
+        const std::size_t before = allocated_bytes();
         const auto holder = build();
-        bytes = live_bytes() - before;
+        bytes = allocated_bytes() - before;
         benchmark::DoNotOptimize(holder);
     }
     state.counters["bytes"] = static_cast<double>(bytes);
     state.counters["bytes_per_upstream"] = static_cast<double>(bytes) / upstreams;
 }
 
-/// The newest record of each key, as a reader hands it on.
+/// Newest record of each key, as a root reader passes it to followers.
 void
 newest_records(benchmark::State& state)
 {
-    const auto records = records_of(static_cast<int>(state.range(0)));
-    measure(state, [&] {
+    const auto records = make_records(static_cast<int>(state.range(0)));
+    measure_memory(state, [&] {
         auto listing = std::make_unique<TopicListing>();
         for (const DirectoryRecord& record : records)
             listing->put(record, record.offset);
@@ -90,14 +90,14 @@
     });
 }
 
-/// The same with its compressed form.
+/// As newest_records, with the compressed form of the listing.
 void
 newest_records_packed(benchmark::State& state)
 {
-    const auto records = records_of(static_cast<int>(state.range(0)));
+    const auto records = make_records(static_cast<int>(state.range(0)));
     RecordHistory history;
     history.restart(state.range(0));
-    measure(state, [&] {
+    measure_memory(state, [&] {
         auto listing = std::make_unique<TopicListing>();
         for (const DirectoryRecord& record : records)
             listing->put(record, record.offset);
@@ -106,67 +106,67 @@
     });
 }
 
-/// The last records that changed something.
+/// History of the latest records that changed a value.
 void
 history(benchmark::State& state)
 {
-    const auto records = records_of(static_cast<int>(state.range(0)));
-    measure(state, [&] {
-        auto kept = std::make_unique<RecordHistory>();
-        kept->restart(0);
+    const auto records = make_records(static_cast<int>(state.range(0)));
+    measure_memory(state, [&] {
+        auto records_history = std::make_unique<RecordHistory>();
+        records_history->restart(0);
         for (const DirectoryRecord& record : records)
-            kept->append(record.offset, record);
-        return kept;
+            records_history->append(record.offset, record);
+        return records_history;
     });
 }
 
 std::unique_ptr<DirectoryFold>
-fold_of(const std::vector<DirectoryRecord>& records)
+make_fold(const std::vector<DirectoryRecord>& records)
 {
     const TextDialect dialect;
-    auto fold = std::make_unique<DirectoryFold>(kGrace);
+    auto fold = std::make_unique<DirectoryFold>(kRemovalGracePeriod);
     for (const DirectoryRecord& record : records)
         fold->apply(*dialect.decode_upstream(record));
     benchmark::DoNotOptimize(fold->take_changes());
     return fold;
 }
 
-/// Upstreams as records make them, and what was last told of each.
+/// Upstreams as folded from records, with the last reported change of each.
 void
 fold(benchmark::State& state)
 {
-    const auto records = records_of(static_cast<int>(state.range(0)));
-    measure(state, [&] { return fold_of(records); });
+    const auto records = make_records(static_cast<int>(state.range(0)));
+    measure_memory(state, [&] { return make_fold(records); });
 }
 
-/// Upstreams as requests see them: their states, and one snapshot.
+/// Upstreams as requests use them: their states, and one snapshot.
 void
 snapshot(benchmark::State& state)
 {
     std::vector<UpstreamMember> members
-        = fold_of(records_of(static_cast<int>(state.range(0))))->members();
+        = make_fold(make_records(static_cast<int>(state.range(0))))->members();
     for (std::size_t i = 0; i < members.size(); ++i) {
         members[i].address = "10.0.0.1:" + std::to_string(i + 1);
         members[i].hall = "hall-" + std::to_string(i % kHalls);
     }
-    const Bundle bundle = one_set();
-    measure(state, [&] {
+    const Bundle bundle = make_single_set_bundle();
+    measure_memory(state, [&] {
         auto table = std::make_unique<UpstreamTable>("hall-0");
         SnapshotPtr built = table->build(bundle, members);
         return std::make_pair(std::move(table), std::move(built));
     });
 }
 
-/// A whole view that has listed the directory, without the snapshot.
+/// A complete view after listing the directory, without the snapshot.
 void
 whole_view(benchmark::State& state)
 {
-    const auto records = records_of(static_cast<int>(state.range(0)));
+    const auto records = make_records(static_cast<int>(state.range(0)));
     const TextDialect dialect;
     const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
-    measure(state, [&] {
-        auto view
-            = std::make_unique<DirectoryView>(dialect, pace, kGrace, "n", "hall-0", 400, 0);
+    measure_memory(state, [&] {
+        auto view = std::make_unique<DirectoryView>(dialect, pace, kRemovalGracePeriod, "n",
+                                                    "hall-0", 400, 0);
         view->begin_listing(DirectoryTopic::Upstreams, 0);
         view->take_listed(DirectoryTopic::Upstreams, records, 0);
         view->end_listing(DirectoryTopic::Upstreams, state.range(0), 0, 0);
@@ -175,40 +175,40 @@
     });
 }
 
-/// One upstream's record comes: the time that a daemon takes for it.
+/// Time to apply one new record of an upstream.
 void
 one_record(benchmark::State& state)
 {
-    const auto records = records_of(static_cast<int>(state.range(0)));
+    const auto records = make_records(static_cast<int>(state.range(0)));
     const TextDialect dialect;
     const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
-    DirectoryView view(dialect, pace, kGrace, "n", "hall-0", 400, 0);
+    DirectoryView view(dialect, pace, kRemovalGracePeriod, "n", "hall-0", 400, 0);
     view.begin_listing(DirectoryTopic::Upstreams, 0);
     view.take_listed(DirectoryTopic::Upstreams, records, 0);
     view.end_listing(DirectoryTopic::Upstreams, state.range(0), 0, 0);
     Offset next = state.range(0);
     int sequence = 1;
     for (auto _ : state) {
-        const std::vector<DirectoryRecord> page {record_of(0, ++sequence)};
+        const std::vector<DirectoryRecord> page {make_record(0, ++sequence)};
         benchmark::DoNotOptimize(
             view.take_page(DirectoryTopic::Upstreams, next++, page, 0, 0, 0));
     }
 }
 
 void
-sizes(benchmark::internal::Benchmark* bench)
+set_sizes(benchmark::internal::Benchmark* bench)
 {
     for (const int upstreams : {300, 3000, 10'000, 25'000})
         bench->Arg(upstreams);
 }
 
-BENCHMARK(newest_records)->Apply(sizes);
-BENCHMARK(newest_records_packed)->Apply(sizes);
-BENCHMARK(history)->Apply(sizes);
-BENCHMARK(fold)->Apply(sizes);
-BENCHMARK(snapshot)->Apply(sizes);
-BENCHMARK(whole_view)->Apply(sizes);
-BENCHMARK(one_record)->Apply(sizes);
+BENCHMARK(newest_records)->Apply(set_sizes);
+BENCHMARK(newest_records_packed)->Apply(set_sizes);
+BENCHMARK(history)->Apply(set_sizes);
+BENCHMARK(fold)->Apply(set_sizes);
+BENCHMARK(snapshot)->Apply(set_sizes);
+BENCHMARK(whole_view)->Apply(set_sizes);
+BENCHMARK(one_record)->Apply(set_sizes);
 
 } // namespace
 
--- a/src/bench/bench_leader.cpp
+++ b/src/bench/bench_leader.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What a daemon that leads an upstream set spends on one decision.
+/// Cost of one decision in a daemon that leads an upstream set.
 
 #include <benchmark/benchmark.h>
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Halls as large as each other; the rest follows from the number of upstreams.
+/// Number of halls, all with as many upstreams.
 constexpr int kHalls = 5;
 
 UpstreamSet
@@ -30,10 +30,11 @@
 
 } // namespace
 
-/// A look at pieces that all wait for their own hall while others have free slots: what an
-/// order, a release or the end of a call finds most often under load.  41 upstreams and 320
-/// pieces on 2.1 GHz: 33 us a look before rooms were read once for each upstream and halls
-/// once for each group, 4.5 us since.
+/// Searches for the next call while all pieces wait for their own hall and other halls have
+/// free slots: the most frequent result of an order, a release or the end of a call under
+/// load. With 41 upstreams and 320 pieces on 2.1 GHz a search takes 4.5 us; it took 33 us
+/// without reading free slots only once for each upstream and halls only once for each
+/// group.
 static void
 BM_LookAtWaitingPieces(benchmark::State& state)
 {
@@ -72,7 +73,8 @@
 }
 BENCHMARK(BM_LookAtWaitingPieces)->Args({5, 40})->Args({41, 320})->Args({300, 2000});
 
-/// Choosing and reserving an engine for a prompt of two shared parts, and its end.
+/// Chooses and reserves an engine for a prompt with two shared parts, and ends the
+/// reservation.
 static void
 BM_PlacePrompt(benchmark::State& state)
 {
--- a/src/bench/bench_scheduler.cpp
+++ b/src/bench/bench_scheduler.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one decision costs: a request from its arrival to its last answer.
+/// Cost of scheduling a request, from its arrival to its last answer.
 
 #include <benchmark/benchmark.h>
 
@@ -45,7 +45,7 @@
     return bundle;
 }
 
-/// What all threads share: one table of upstreams, as in a daemon.
+/// State shared by all threads: one table of upstreams, as in a daemon.
 struct Shared {
     Shared(int upstreams, int accounts)
         : table("h")
@@ -63,14 +63,14 @@
 Shared&
 shared_for(int upstreams, int accounts)
 {
-    static Shared today(20, 5);
-    static Shared planned(300, 1600);
-    return upstreams == 20 && accounts == 5 ? today : planned;
+    static Shared small(20, 5);
+    static Shared large(300, 1600);
+    return upstreams == 20 && accounts == 5 ? small : large;
 }
 
 } // namespace
 
-/// Admit, route and settle one single-stage request.
+/// Admits, routes and completes one single-stage request.
 static void
 BM_AdmitRouteSettle(benchmark::State& state)
 {
--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -18,15 +18,15 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kReadyInterval {50};
+constexpr std::chrono::milliseconds kReadyPollInterval {50};
 constexpr std::int64_t kReadyTimeoutUs = 300'000;
-/// A caller waits this much longer than its deadline before it calls it cut.
-constexpr std::int64_t kPatienceUs = 5'000'000;
+/// Time beyond the deadline after which a request without an answer counts as cut.
+constexpr std::int64_t kDeadlineMarginUs = 5'000'000;
 constexpr int kMaxResumes = 8;
-constexpr int kMaxTries = 5;
+constexpr int kMaxAttempts = 5;
 
 void
-judge_problem(const HttpResponse& response, Record& record)
+classify_problem(const HttpResponse& response, Record& record)
 {
     const auto body = parse_json_object(response.body);
     record.kind = body ? json_text(*body, "kind") : "no_problem_body";
@@ -35,7 +35,7 @@
 }
 
 void
-judge_time(const PipelineLoad& load, Record& record)
+classify_latency(const PipelineLoad& load, Record& record)
 {
     record.outcome = record.time_ms <= load.deadline_ms ? Outcome::Attained : Outcome::Late;
 }
@@ -47,7 +47,7 @@
 {
     std::string value = body;
     for (const std::string& stage : load.stages)
-        value = stage == "generate" ? standin::whole_text(value, load.tokens)
+        value = stage == "generate" ? standin::complete_text(value, load.tokens)
                                     : standin::stage_output(stage, value);
     return value;
 }
@@ -61,13 +61,13 @@
 }
 
 asio::awaitable<void>
-Balancer::watch()
+Balancer::poll_readiness()
 {
     asio::steady_timer timer(m_io);
     while (!m_stopped) {
         for (std::size_t i = 0; i < m_daemons.size(); ++i)
             m_ready[i] = co_await is_ready(m_daemons[i]);
-        timer.expires_after(kReadyInterval);
+        timer.expires_after(kReadyPollInterval);
         co_await timer.async_wait(kToTuple);
     }
 }
@@ -122,12 +122,12 @@
         + std::to_string(pipeline) + "/" + std::to_string(number);
     const std::int64_t started = monotonic_us();
     if (load.stream)
-        co_await stream(load, body, record);
+        co_await send_streaming(load, body, record);
     else
-        co_await whole(load, body, record);
+        co_await send_unary(load, body, record);
     record.time_ms = static_cast<double>(monotonic_us() - started) / 1000;
     if (record.outcome == Outcome::Attained)
-        judge_time(load, record);
+        classify_latency(load, record);
     co_return record;
 }
 
@@ -151,25 +151,25 @@
 }
 
 asio::awaitable<void>
-Caller::whole(const PipelineLoad& load, const std::string& body, Record& record)
+Caller::send_unary(const PipelineLoad& load, const std::string& body, Record& record)
 {
     HttpRequest request = make_request(load, body, record, m_number);
     CallOptions options;
-    options.deadline_us
-        = monotonic_us() + static_cast<std::int64_t>(load.deadline_ms * 1000) + kPatienceUs;
-    // The client must not repeat a call by itself: whether a keyed request is
-    // asked again is what is tested here.
+    options.deadline_us = monotonic_us()
+        + static_cast<std::int64_t>(load.deadline_ms * 1000) + kDeadlineMarginUs;
+    // HttpClient may resend a request that fails on a reused connection.  A fresh
+    // connection prevents this, so that a keyed request is resent only by this loop.
     options.fresh_connection = load.keyed;
     CallResult result;
-    const int tries = m_config.retry_lost ? kMaxTries : 1;
-    for (int i = 0; i < tries && result.status != CallStatus::Answered; ++i)
+    const int attempts = m_config.retry_lost ? kMaxAttempts : 1;
+    for (int i = 0; i < attempts && result.status != CallStatus::Answered; ++i)
         result = co_await m_client.call(m_balancer.pick(), request, options);
     if (result.status != CallStatus::Answered) {
         record.outcome = Outcome::Cut;
         co_return;
     }
     if (result.response.status != 200) {
-        judge_problem(result.response, record);
+        classify_problem(result.response, record);
         co_return;
     }
     const auto answer = parse_json_object(result.response.body);
@@ -177,28 +177,28 @@
     record.outcome = own ? Outcome::Attained : Outcome::Misdelivered;
 }
 
-/// What has come of a stream so far, over all its connections.
+/// State of a stream, accumulated over all its connections.
 struct Caller::StreamState {
     std::string buffer;
     std::string text;
     std::string last_id;
-    std::string error; ///< data of an error event
+    std::string error; ///< data of the last error event; "" if there was none
     std::size_t tokens = 0;
     bool in_order = true;
     bool ended = false;
-    std::int64_t first_at = 0;
+    std::int64_t first_token_us = 0;
 
     void feed(std::string_view piece)
     {
         buffer += piece;
         std::size_t end = 0;
         while ((end = buffer.find("\n\n")) != std::string::npos) {
-            take_event(buffer.substr(0, end));
+            on_event(buffer.substr(0, end));
             buffer.erase(0, end + 2);
         }
     }
 
-    void take_event(const std::string& event)
+    void on_event(const std::string& event)
     {
         std::string id;
         std::string name;
@@ -220,23 +220,23 @@
         else if (name == "error")
             error = data;
         else if (const auto token = parse_json_object(data))
-            take_token(*token, id);
+            on_token(*token, id);
     }
 
-    void take_token(const boost::json::object& token, const std::string& id)
+    void on_token(const boost::json::object& token, const std::string& id)
     {
         in_order = in_order && json_integer<std::size_t>(token, "i", 0) == tokens;
         text += json_text(token, "t");
         last_id = id;
         ++tokens;
-        if (first_at == 0)
-            first_at = monotonic_us();
+        if (first_token_us == 0)
+            first_token_us = monotonic_us();
     }
 };
 
-/// Follows a stream to its end, over as many daemons as it takes.
+/// Reads a stream to its end, resuming at further daemons if the connection breaks.
 asio::awaitable<void>
-Caller::stream(const PipelineLoad& load, const std::string& body, Record& record)
+Caller::send_streaming(const PipelineLoad& load, const std::string& body, Record& record)
 {
     StreamState state;
     const std::uint64_t number = m_number;
@@ -250,14 +250,14 @@
         state.buffer.clear();
         state.error.clear();
         CallOptions options;
-        options.deadline_us
-            = started + static_cast<std::int64_t>(load.deadline_ms * 1000) + kPatienceUs;
+        options.deadline_us = started + static_cast<std::int64_t>(load.deadline_ms * 1000)
+            + kDeadlineMarginUs;
         options.on_chunk = [&state](std::string_view piece) { state.feed(piece); };
         const CallResult result
             = co_await m_client.call(m_balancer.pick(), request, options);
         if (result.status == CallStatus::Answered && result.response.status != 200) {
-            judge_problem(result.response, record);
-            // A stream that has begun is tried elsewhere when told to come back.
+            classify_problem(result.response, record);
+            // A stream that has started is resumed elsewhere after a server error.
             const bool again = !state.last_id.empty() && result.response.status >= 500;
             if (!again)
                 co_return;
@@ -265,11 +265,11 @@
         if (!state.error.empty() && state.last_id.empty()) {
             HttpResponse problem;
             problem.body = state.error;
-            judge_problem(problem, record);
+            classify_problem(problem, record);
             co_return;
         }
     }
-    record.first_token_ms = static_cast<double>(state.first_at - started) / 1000;
+    record.first_token_ms = static_cast<double>(state.first_token_us - started) / 1000;
     if (!state.ended)
         record.outcome = Outcome::Cut;
     else if (!state.in_order || state.text != expected_output(load, body))
@@ -278,7 +278,7 @@
         record.outcome = Outcome::Attained;
 }
 
-/// RFC 9562, version 7: milliseconds, then random bits.
+/// Makes a UUID of version 7 (RFC 9562): milliseconds since the epoch, then random bits.
 std::string
 Caller::uuid7()
 {
--- a/src/load/caller.h
+++ b/src/load/caller.h
@@ -16,38 +16,38 @@
 
 namespace cypressford::load {
 
-/// How one request ended, as its caller sees it.
+/// Result of one request, as observed by its caller.
 enum class Outcome : unsigned char {
-    Attained, ///< whole answer within the deadline
-    Late, ///< whole answer after the deadline
-    NotRun, ///< refused, "not run"
-    Unknown, ///< failed, it may have run
-    Cut, ///< no answer, or one that breaks off for good
-    Misdelivered, ///< an answer to something else
+    Attained, ///< complete answer within the deadline
+    Late, ///< complete answer after the deadline
+    NotRun, ///< refused with "not run"
+    Unknown, ///< failed; the request may have run
+    Cut, ///< no answer, or an incomplete one that could not be resumed
+    Misdelivered, ///< answer that does not belong to the request
 };
 inline constexpr std::size_t kOutcomes = 6;
 
-/// One request and its end.
+/// One request and its outcome.
 struct Record {
     std::size_t pipeline = 0;
     Outcome outcome = Outcome::Cut;
-    std::string kind; ///< error kind, if it was refused or failed
-    std::string key; ///< "" if it has none
+    std::string kind; ///< error kind, if the request was refused or failed
+    std::string key; ///< idempotency key; "" if it has none
     double time_ms = 0;
     double first_token_ms = 0;
-    int resumed = 0; ///< times that its stream was resumed
+    int resumed = 0; ///< number of times that its stream was resumed
 };
 
-/// Plays the platform's balancer: knows which daemons say that they are ready.
+/// Stands in for the platform's load balancer: tracks which daemons report ready.
 class Balancer {
 public:
     Balancer(boost::asio::io_context& io, std::vector<std::string> daemons);
 
-    /// Asks all daemons again and again until `stop`.
-    boost::asio::awaitable<void> watch();
+    /// Polls the readiness of all daemons until `stop`.
+    boost::asio::awaitable<void> poll_readiness();
     void stop() { m_stopped = true; }
 
-    /// The next ready daemon in turn; any if none is ready.
+    /// Next ready daemon in round-robin order; any daemon if none is ready.
     std::string pick();
     std::size_t ready_count() const;
 
@@ -62,7 +62,7 @@
     bool m_stopped = false;
 };
 
-/// Sends requests and judges their answers.
+/// Sends requests and classifies their outcomes.
 class Caller {
 public:
     Caller(boost::asio::io_context& io, const LoadConfig& config, Balancer& balancer);
@@ -72,10 +72,10 @@
 private:
     struct StreamState;
 
-    boost::asio::awaitable<void> whole(const PipelineLoad& load, const std::string& body,
-                                       Record& record);
-    boost::asio::awaitable<void> stream(const PipelineLoad& load, const std::string& body,
-                                        Record& record);
+    boost::asio::awaitable<void> send_unary(const PipelineLoad& load,
+                                            const std::string& body, Record& record);
+    boost::asio::awaitable<void> send_streaming(const PipelineLoad& load,
+                                                const std::string& body, Record& record);
     HttpRequest make_request(const PipelineLoad& load, const std::string& body,
                              const Record& record, std::uint64_t number);
     std::string uuid7();
@@ -87,7 +87,7 @@
     std::uint64_t m_number = 0;
 };
 
-/// What the answer to a body must be.
+/// Expected answer to a request body, as computed by the stand-ins.
 std::string expected_output(const PipelineLoad& load, const std::string& body);
 
 } // namespace cypressford::load
--- a/src/load/config.h
+++ b/src/load/config.h
@@ -9,39 +9,39 @@
 
 namespace cypressford::load {
 
-/// A time in which a pipeline's rate is multiplied.
+/// Interval in which a pipeline's request rate is multiplied.
 struct Phase {
     double from_s = 0;
     double to_s = 0;
     double factor = 1;
 };
 
-/// The requests of one pipeline.
+/// Load of one pipeline.
 struct PipelineLoad {
     std::string name;
     std::string credential;
     double rate = 1; ///< requests per second
-    double deadline_ms = 4000; ///< sent along, and what counts as attained
+    double deadline_ms = 4000; ///< sent with the request; later answers are not attained
     bool keyed = false; ///< send an Idempotency-Key
     bool stream = false;
-    bool urgent = false; ///< counted apart in the result
-    int sessions = 0; ///< number of sessions to spread over; 0 for none
+    bool urgent = false; ///< also counted in the attainment of urgent requests
+    int sessions = 0; ///< number of sessions that requests rotate through; 0 for none
     std::size_t tokens = 0; ///< length of the generated text
-    std::vector<std::string> stages; ///< operations in order; "generate" among them
+    std::vector<std::string> stages; ///< operations in order; may include "generate"
     std::vector<Phase> phases;
 };
 
-/// One run.
+/// Configuration of one run.
 struct LoadConfig {
     std::vector<std::string> daemons;
     unsigned seed = 1;
-    bool retry_lost = false; ///< ask again, at another daemon, when no answer came
+    bool retry_lost = false; ///< resend an unanswered request, to another daemon
     double duration_s = 10;
     std::vector<PipelineLoad> pipelines;
     std::map<std::string, std::vector<std::string>> standins; ///< upstream set to addresses
 };
 
-/// Reads the YAML file; throws YAML::Exception for one that is wrong.
+/// Reads the YAML file; throws YAML::Exception if it is invalid.
 LoadConfig read_config(const std::string& path);
 
 } // namespace cypressford::load
--- a/src/load/load.cpp
+++ b/src/load/load.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// cypressford-load: a bounded open-loop load, judged by what callers got and
-/// what the stand-ins saw.
+/// cypressford-load: sends a bounded open-loop load and reports violations and
+/// attainment from the callers' answers and the stand-ins' counters.
 
 #include <iostream>
 
@@ -33,10 +33,10 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kPoll {20};
-/// Requests under way at most, so that a broken system can't make this one grow
-/// without bound.
-constexpr std::size_t kMaxOpen = 20'000;
+constexpr std::chrono::milliseconds kPollInterval {20};
+/// Limit of requests in flight; bounds this process's memory if the system under
+/// test does not answer.  Requests beyond it are not sent.
+constexpr std::size_t kMaxInFlight = 20'000;
 
 template <class T>
 T
@@ -75,7 +75,7 @@
     return rate;
 }
 
-/// One whole run.
+/// One load run.
 class Run {
 public:
     explicit Run(const LoadConfig& config)
@@ -88,7 +88,7 @@
 
     bool execute(double wait_ready_s)
     {
-        asio::co_spawn(m_io, m_balancer.watch(), asio::detached);
+        asio::co_spawn(m_io, m_balancer.poll_readiness(), asio::detached);
         asio::co_spawn(m_io, drive(wait_ready_s), asio::detached);
         m_io.run();
         return m_was_ready;
@@ -102,11 +102,11 @@
     {
         m_was_ready = co_await wait_until_ready(wait_ready_s);
         if (m_was_ready) {
-            m_started = monotonic_us();
+            m_started_us = monotonic_us();
             for (std::size_t i = 0; i < m_config.pipelines.size(); ++i)
                 asio::co_spawn(m_io, generate(i), asio::detached);
             co_await wait_until_done();
-            co_await collect();
+            co_await collect_counts();
         }
         m_balancer.stop();
     }
@@ -118,13 +118,14 @@
         asio::steady_timer timer(m_io);
         while (m_balancer.ready_count() < m_config.daemons.size()
                && monotonic_us() < until) {
-            timer.expires_after(kPoll);
+            timer.expires_after(kPollInterval);
             co_await timer.async_wait(kToTuple);
         }
         co_return m_balancer.ready_count() > 0;
     }
 
-    /// Requests of one pipeline at exponential gaps, whatever becomes of them.
+    /// Sends the requests of one pipeline at exponentially distributed intervals,
+    /// independent of their answers (open loop).
     asio::awaitable<void> generate(std::size_t index)
     {
         const PipelineLoad& load = m_config.pipelines[index];
@@ -138,31 +139,31 @@
                 break;
             timer.expires_at(
                 std::chrono::steady_clock::time_point(std::chrono::microseconds(
-                    m_started + static_cast<std::int64_t>(at_s * 1e6))));
+                    m_started_us + static_cast<std::int64_t>(at_s * 1e6))));
             co_await timer.async_wait(kToTuple);
-            if (m_open < kMaxOpen)
-                asio::co_spawn(m_io, one(index, number++), asio::detached);
+            if (m_in_flight < kMaxInFlight)
+                asio::co_spawn(m_io, send_request(index, number++), asio::detached);
         }
         ++m_generators_done;
     }
 
-    asio::awaitable<void> one(std::size_t index, std::uint64_t number)
+    asio::awaitable<void> send_request(std::size_t index, std::uint64_t number)
     {
-        ++m_open;
+        ++m_in_flight;
         m_records.push_back(co_await m_caller.request(index, number));
-        --m_open;
+        --m_in_flight;
     }
 
     asio::awaitable<void> wait_until_done()
     {
         asio::steady_timer timer(m_io);
-        while (m_open > 0 || m_generators_done < m_config.pipelines.size()) {
-            timer.expires_after(kPoll);
+        while (m_in_flight > 0 || m_generators_done < m_config.pipelines.size()) {
+            timer.expires_after(kPollInterval);
             co_await timer.async_wait(kToTuple);
         }
     }
 
-    asio::awaitable<void> collect()
+    asio::awaitable<void> collect_counts()
     {
         for (const auto& [set, addresses] : m_config.standins) {
             for (const std::string& address : addresses) {
@@ -189,8 +190,8 @@
     HttpClient m_client;
     std::vector<Record> m_records;
     StandinCounts m_counts;
-    std::int64_t m_started = 0;
-    std::size_t m_open = 0;
+    std::int64_t m_started_us = 0;
+    std::size_t m_in_flight = 0;
     std::size_t m_generators_done = 0;
     bool m_was_ready = false;
 };
@@ -219,14 +220,14 @@
 main(int argc, char** argv)
 {
     using namespace cypressford::load;
-    absl::SetProgramUsageMessage("Sends a bounded open-loop load and judges the answers.\n"
+    absl::SetProgramUsageMessage("Sends a bounded open-loop load and checks the answers.\n"
                                  "Example: cypressford-load --config=load.yaml");
     absl::ParseCommandLine(argc, argv);
     try {
         const LoadConfig config = read_config(absl::GetFlag(FLAGS_config));
         Run run(config);
         if (!run.execute(absl::GetFlag(FLAGS_wait_ready_s))) {
-            std::cerr << "no daemon is ready\n";
+            std::cerr << "cypressford-load: no daemon became ready within --wait_ready_s\n";
             return 3;
         }
         const Report report = make_report(config, run.records(), run.counts());
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -26,14 +26,15 @@
 }
 
 std::size_t
-at(const PipelineReport& report, Outcome outcome)
+count_of(const PipelineReport& report, Outcome outcome)
 {
     return report.outcomes.at(static_cast<std::size_t>(outcome));
 }
 
-/// Upstreams get the key behind the name of the client account.
+/// Sums the runs of each idempotency key.  Upstreams receive a key prefixed by the
+/// name of the client account.
 std::map<std::string, int>
-runs_of_keys(const StandinCounts& counts)
+sum_runs_by_key(const StandinCounts& counts)
 {
     std::map<std::string, int> runs;
     for (const auto& [scoped, count] : counts.runs_by_key)
@@ -44,7 +45,7 @@
 Violations
 count_violations(const std::vector<Record>& records, const StandinCounts& counts)
 {
-    const auto runs = runs_of_keys(counts);
+    const auto runs = sum_runs_by_key(counts);
     Violations violations;
     violations.doubled = static_cast<std::size_t>(std::count_if(
         runs.begin(), runs.end(), [](const auto& entry) { return entry.second > 1; }));
@@ -102,7 +103,7 @@
 PipelineReport::attainment() const
 {
     const auto all = static_cast<double>(std::max<std::size_t>(1, sent()));
-    return static_cast<double>(at(*this, Outcome::Attained)) / all;
+    return static_cast<double>(count_of(*this, Outcome::Attained)) / all;
 }
 
 Report
@@ -115,11 +116,11 @@
     for (std::size_t i = 0; i < config.pipelines.size(); ++i) {
         report.pipelines.push_back(report_pipeline(config.pipelines[i], i, records));
         const PipelineReport& pipeline = report.pipelines.back();
-        report.attained += at(pipeline, Outcome::Attained);
-        report.refused += at(pipeline, Outcome::NotRun);
+        report.attained += count_of(pipeline, Outcome::Attained);
+        report.refused += count_of(pipeline, Outcome::NotRun);
         if (pipeline.urgent) {
             urgent_sent += pipeline.sent();
-            urgent_attained += at(pipeline, Outcome::Attained);
+            urgent_attained += count_of(pipeline, Outcome::Attained);
         }
     }
     const auto share = [](std::size_t part, std::size_t whole) {
@@ -144,9 +145,9 @@
             line, sizeof line,
             "pipeline=%s sent=%zu attainment=%.4f late=%zu refused=%zu unknown=%zu "
             "cut=%zu p50_ms=%.1f p99_ms=%.1f first_token_p95_ms=%.1f resumed=%zu",
-            p.name.c_str(), p.sent(), p.attainment(), at(p, Outcome::Late),
-            at(p, Outcome::NotRun), at(p, Outcome::Unknown), at(p, Outcome::Cut), p.p50_ms,
-            p.p99_ms, p.first_token_p95_ms, p.resumed);
+            p.name.c_str(), p.sent(), p.attainment(), count_of(p, Outcome::Late),
+            count_of(p, Outcome::NotRun), count_of(p, Outcome::Unknown),
+            count_of(p, Outcome::Cut), p.p50_ms, p.p99_ms, p.first_token_p95_ms, p.resumed);
         text += line;
         for (const auto& [kind, count] : p.kinds)
             text += " " + kind + "=" + std::to_string(count);
@@ -178,7 +179,7 @@
         pipelines.push_back(json::object {{"name", p.name},
                                           {"sent", p.sent()},
                                           {"attainment", p.attainment()},
-                                          {"refused", at(p, Outcome::NotRun)},
+                                          {"refused", count_of(p, Outcome::NotRun)},
                                           {"p50_ms", p.p50_ms},
                                           {"p99_ms", p.p99_ms}});
     }
--- a/src/load/report.h
+++ b/src/load/report.h
@@ -12,15 +12,15 @@
 
 namespace cypressford::load {
 
-/// What the stand-ins saw.
+/// Counters read from the stand-ins.
 struct StandinCounts {
     std::map<std::string, double> busy_ms; ///< by upstream set
-    std::map<std::string, int> runs_by_key; ///< key as upstreams got it
+    std::map<std::string, int> runs_by_key; ///< by key, as upstreams received it
 };
 
-/// What must never happen, counted.
+/// Counts of violated delivery guarantees; all must be 0.
 struct Violations {
-    std::size_t lost = 0; ///< no answer, or "not run" of something that ran
+    std::size_t lost = 0; ///< answered but never run, or "not run" although it ran
     std::size_t doubled = 0; ///< keys that ran more than once
     std::size_t misdelivered = 0;
     std::size_t cut = 0;
@@ -46,7 +46,8 @@
 struct Report {
     std::vector<PipelineReport> pipelines;
     Violations violations;
-    std::map<std::string, double> cost_ms; ///< busy time per attained request, by set
+    std::map<std::string, double>
+        cost_ms; ///< busy time per attained request, by upstream set
     double attainment = 0;
     double urgent_attainment = 0;
     std::size_t refused = 0;
@@ -56,7 +57,7 @@
 Report make_report(const LoadConfig& config, const std::vector<Record>& records,
                    const StandinCounts& counts);
 
-/// Lines for a person; the last one is the result.
+/// Human-readable lines; the last one is the overall result.
 std::string format_text(const Report& report);
 std::string format_json(const Report& report);
 
--- a/src/standin/answers.h
+++ b/src/standin/answers.h
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What stand-ins answer, as functions of what they were sent, so that a
-/// caller can tell its own answer from any other.
+/// Outputs of the stand-ins.  They are pure functions of the input, so that a caller
+/// can detect an answer that belongs to another request.
 
 #pragma once
 
@@ -29,9 +29,9 @@
     return " " + format_stamp(fast_hash(prompt, index)).substr(0, 6);
 }
 
-/// The whole text of `count` tokens.
+/// Complete text of `count` tokens.
 inline std::string
-whole_text(std::string_view prompt, std::size_t count)
+complete_text(std::string_view prompt, std::size_t count)
 {
     std::string text;
     for (std::size_t i = 0; i < count; ++i)
--- a/src/standin/engine.cpp
+++ b/src/standin/engine.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A model engine: batch slots, a bounded prefix cache, streams that can be
-/// resumed and cancelled, fenced orders.
+/// Stand-in for a model engine: batch slots, a bounded prefix cache, streams that
+/// can be resumed and cancelled, placement orders checked by fencing token.
 
 #include "answers.h"
 #include "upstream.h"
@@ -25,14 +25,14 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// A stream without a reader goes on this long before it is given up.
-constexpr std::chrono::milliseconds kOrphanTime {3000};
-/// A finished stream can be read again this long.
-constexpr std::chrono::milliseconds kKeepTime {5000};
-/// Length of the part of a prompt that is cached as its prefix.
+/// A stream without a reader is cancelled after this time.
+constexpr std::chrono::milliseconds kOrphanTimeout {3000};
+/// A finished stream can be resumed for this time.
+constexpr std::chrono::milliseconds kRetentionTime {5000};
+/// Length of the part of a prompt that is cached as its prefix, in characters.
 constexpr std::size_t kPrefixChars = 64;
 
-/// One generation, whoever reads it.
+/// One generation, shared by all its readers.
 struct Stream {
     explicit Stream(asio::io_context& io)
         : changed(io, asio::steady_timer::time_point::max())
@@ -41,11 +41,11 @@
     std::string prompt;
     std::size_t first = 0; ///< index of tokens.front()
     std::vector<std::string> tokens;
-    std::size_t target = 0; ///< number of tokens of the whole text
+    std::size_t target = 0; ///< number of tokens of the complete text
     bool done = false;
     bool cancelled = false;
     int readers = 0;
-    std::int64_t reader_left_ms = 0;
+    std::int64_t reader_left_ms = 0; ///< wall clock; 0 while no reader has disconnected
     asio::steady_timer changed; ///< cancelled to wake up readers
 };
 using StreamPtr = std::shared_ptr<Stream>;
@@ -92,8 +92,8 @@
             co_await refuse(exchange, 400, "no stream or prompt");
             co_return;
         }
-        if (!co_await take_slot(exchange,
-                                static_cast<int>(json_number(body, "priority", 9))))
+        if (!co_await acquire_slot(exchange,
+                                   static_cast<int>(json_number(body, "priority", 9))))
             co_return;
         auto stream = std::make_shared<Stream>(m_io);
         stream->prompt = prompt;
@@ -107,31 +107,31 @@
         co_await read(exchange, stream, stream->first);
     }
 
-    /// Produces the tokens of a stream, in a slot that is held already.
+    /// Produces the tokens of a stream, in a slot that is already acquired.
     asio::awaitable<void> run(std::string id, StreamPtr stream)
     {
-        co_await work(is_cached(stream->prompt) ? m_config.service_ms
-                                                : m_config.prefill_ms);
-        for (std::size_t i = stream->first; i < stream->target && !is_orphaned(*stream);
-             ++i) {
-            co_await work(m_config.service_ms);
+        co_await simulate_work(look_up_prefix(stream->prompt) ? m_config.service_ms
+                                                              : m_config.prefill_ms);
+        for (std::size_t i = stream->first;
+             i < stream->target && !cancel_if_orphaned(*stream); ++i) {
+            co_await simulate_work(m_config.service_ms);
             stream->tokens.push_back(token_text(stream->prompt, i));
             stream->changed.cancel();
         }
         stream->done = true;
         stream->changed.cancel();
-        give_slot();
-        asio::steady_timer keep(m_io, kKeepTime);
-        co_await keep.async_wait(kToTuple);
+        release_slot();
+        asio::steady_timer retention(m_io, kRetentionTime);
+        co_await retention.async_wait(kToTuple);
         auto it = m_streams.find(id);
         if (it != m_streams.end() && it->second == stream)
             m_streams.erase(it);
     }
 
-    static bool is_orphaned(Stream& stream)
+    static bool cancel_if_orphaned(Stream& stream)
     {
-        const bool alone = stream.readers == 0 && stream.reader_left_ms > 0;
-        if (alone && wall_ms() - stream.reader_left_ms > kOrphanTime.count())
+        const bool unread = stream.readers == 0 && stream.reader_left_ms > 0;
+        if (unread && wall_ms() - stream.reader_left_ms > kOrphanTimeout.count())
             stream.cancelled = true;
         return stream.cancelled;
     }
@@ -204,12 +204,13 @@
 
     asio::awaitable<void> import_kv(HttpExchange& exchange)
     {
-        remember(json_text(parse_body(exchange.request()), "prefix"));
+        cache_prefix(json_text(parse_body(exchange.request()), "prefix"));
         const json::object answer {{"imported", true}};
         co_await exchange.respond(json_response(200, answer));
     }
 
-    /// Events come late: only those older than the report lag are told.
+    /// Lists cached prefixes with a delay: events younger than `report_lag_ms` are left
+    /// out.
     asio::awaitable<void> cache_events(HttpExchange& exchange)
     {
         json::array events;
@@ -248,16 +249,16 @@
         co_await exchange.respond(json_response(200, answer));
     }
 
-    /// Looks up the prompt's prefix and keeps it from now on.
-    bool is_cached(const std::string& prompt)
+    /// True if the prompt's prefix is cached; the prefix is cached afterwards.
+    bool look_up_prefix(const std::string& prompt)
     {
         const std::string prefix = prompt.substr(0, kPrefixChars);
         const bool hit = std::find(m_cache.begin(), m_cache.end(), prefix) != m_cache.end();
-        remember(prefix);
+        cache_prefix(prefix);
         return hit;
     }
 
-    void remember(const std::string& prefix)
+    void cache_prefix(const std::string& prefix)
     {
         std::erase(m_cache, prefix);
         m_cache.push_back(prefix);
--- a/src/standin/platform.cpp
+++ b/src/standin/platform.cpp
@@ -22,7 +22,7 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::size_t kMaxRecordsPerRead = 500;
-constexpr int kLongestWaitMs = 10'000;
+constexpr int kMaxWaitMs = 10'000;
 
 HttpLimits
 platform_limits()
@@ -135,7 +135,7 @@
     const HttpRequest& request = exchange.request();
     std::int64_t from = integer(request.query("from"), 0);
     const auto wait
-        = std::min<std::int64_t>(integer(request.query("wait_ms"), 0), kLongestWaitMs);
+        = std::min<std::int64_t>(integer(request.query("wait_ms"), 0), kMaxWaitMs);
     const std::int64_t until = wall_ms() + wait;
     while (m_streams[name].next() <= from && wall_ms() < until && !m_outage) {
         asio::steady_timer timeout(m_io, std::chrono::milliseconds(until - wall_ms()));
@@ -190,7 +190,7 @@
     return json_response(200, {{"appends", m_appends}, {"streams", std::move(streams)}});
 }
 
-/// The list as it was some time ago.
+/// Node list as of `list_lag_ms` ago.
 HttpResponse
 Platform::node_list(const HttpRequest& request)
 {
--- a/src/standin/platform.h
+++ b/src/standin/platform.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The platform: a log service with several streams, and a lagging node list.
+/// Stand-in for the platform: a log service with several streams, and a lagging node list.
 
 #pragma once
 
@@ -19,11 +19,11 @@
 
 struct PlatformConfig {
     std::string address;
-    double appends_per_s = 300;
-    double append_ms = 3;
-    std::size_t retained = 100'000; ///< records of one stream
-    double list_lag_ms = 2000; ///< age of the node list
-    std::vector<std::string> nodes; ///< addresses that are live at the start
+    double appends_per_s = 300; ///< rate limit of appends; also the burst size
+    double append_ms = 3; ///< duration of an append
+    std::size_t retained = 100'000; ///< records kept per stream
+    double list_lag_ms = 2000; ///< delay until a change shows in the node list
+    std::vector<std::string> nodes; ///< addresses listed as live at the start
 };
 
 class Platform {
@@ -67,7 +67,7 @@
     bool m_outage = false;
     bool m_lose_answers = false;
     double m_delay_ms = 0;
-    std::vector<std::string> m_cut_halls; ///< halls that can't reach the platform
+    std::vector<std::string> m_cut_halls; ///< halls whose requests are refused
 };
 
 } // namespace cypressford::standin
--- a/src/standin/pool.cpp
+++ b/src/standin/pool.cpp
@@ -34,8 +34,8 @@
             co_await refuse(exchange, 422, "key used with another input");
             co_return;
         }
-        if (!co_await take_slot(exchange,
-                                static_cast<int>(json_number(body, "priority", 9))))
+        if (!co_await acquire_slot(exchange,
+                                   static_cast<int>(json_number(body, "priority", 9))))
             co_return;
         const bool repeat
             = m_config.deduplicates && !key.empty() && m_inputs.count(key) > 0;
@@ -46,9 +46,9 @@
                 m_inputs[key] = input;
                 LogEvent("run").kv("address", m_config.address).kv("key", key);
             }
-            co_await work(m_config.service_ms);
+            co_await simulate_work(m_config.service_ms);
         }
-        give_slot();
+        release_slot();
         if (m_faults.cut) {
             exchange.drop();
             co_return;
--- a/src/standin/standin.cpp
+++ b/src/standin/standin.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// cypressford-standin: plays upstreams and the platform in tests and demos.
+/// cypressford-standin: stand-ins for upstreams and the platform, for tests and demos.
 
 #include <csignal>
 #include <iostream>
@@ -18,8 +18,8 @@
 #include "platform.h"
 #include "upstream.h"
 
-ABSL_FLAG(std::string, config, "", "YAML file that lists the stand-ins to play");
-ABSL_FLAG(std::string, log_file, "", "where events go; standard error if empty");
+ABSL_FLAG(std::string, config, "", "YAML file that lists the stand-ins to run");
+ABSL_FLAG(std::string, log_file, "", "event log; standard error if empty");
 
 namespace cypressford::standin {
 
@@ -104,7 +104,7 @@
 int
 main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("Plays upstreams and the platform.\n"
+    absl::SetProgramUsageMessage("Runs stand-ins for upstreams and the platform.\n"
                                  "Example: cypressford-standin --config=standin.yaml");
     absl::ParseCommandLine(argc, argv);
     cypressford::open_log({"-", "standin"}, absl::GetFlag(FLAGS_log_file),
--- a/src/standin/upstream.cpp
+++ b/src/standin/upstream.cpp
@@ -20,7 +20,7 @@
 constexpr double kHangMs = 60'000;
 
 HttpLimits
-generous_limits()
+server_limits()
 {
     HttpLimits limits;
     limits.connections = 20'000;
@@ -29,7 +29,7 @@
 }
 
 HttpResponse
-plain_refusal(ErrorKind kind)
+refusal_response(ErrorKind kind)
 {
     HttpResponse response;
     response.status = error_row(kind).http_status;
@@ -57,8 +57,8 @@
     : m_io(io)
     , m_config(std::move(config))
     , m_server(
-          io, generous_limits(),
-          [this](HttpExchange& exchange) { return dispatch(exchange); }, plain_refusal)
+          io, server_limits(),
+          [this](HttpExchange& exchange) { return dispatch(exchange); }, refusal_response)
     , m_random(m_config.seed)
     , m_incarnation(static_cast<std::uint64_t>(wall_ms()))
 {
@@ -131,20 +131,21 @@
                           {"leaving", m_faults.leaving}});
 }
 
-/// Reports lag: the figures are taken anew only when the last ones are old.
+/// Refreshes the reported load if the last sample is at least `report_lag_ms` old, so
+/// that reports lag as a real upstream's do.
 void
 Upstream::sample_load()
 {
     const std::int64_t now = wall_ms();
-    if (static_cast<double>(now - m_sampled_at) < m_config.report_lag_ms)
+    if (static_cast<double>(now - m_sampled_at_ms) < m_config.report_lag_ms)
         return;
-    m_sampled_at = now;
+    m_sampled_at_ms = now;
     m_reported_in_use = m_in_use;
     m_reported_waiting = static_cast<int>(m_waiting.size());
 }
 
 asio::awaitable<bool>
-Upstream::take_slot(HttpExchange& exchange, int priority)
+Upstream::acquire_slot(HttpExchange& exchange, int priority)
 {
     if (m_faults.leaving) {
         ++m_counters.after_leaving;
@@ -160,13 +161,13 @@
         co_return false;
     }
     asio::steady_timer timer(m_io, asio::steady_timer::time_point::max());
-    m_waiting.insert({priority, m_next_waiter++, &timer});
+    m_waiting.insert({priority, m_next_waiter_number++, &timer});
     co_await timer.async_wait(kToTuple);
-    co_return true; // the slot was handed over
+    co_return true; // release_slot() passed its slot on
 }
 
 void
-Upstream::give_slot()
+Upstream::release_slot()
 {
     if (m_waiting.empty()) {
         --m_in_use;
@@ -178,10 +179,10 @@
 }
 
 asio::awaitable<void>
-Upstream::work(double ms)
+Upstream::simulate_work(double ms)
 {
-    std::uniform_real_distribution<double> spread(1 - m_config.jitter, 1 + m_config.jitter);
-    const double time = ms * m_faults.slow * spread(m_random);
+    std::uniform_real_distribution<double> jitter(1 - m_config.jitter, 1 + m_config.jitter);
+    const double time = ms * m_faults.slow * jitter(m_random);
     m_counters.busy_ms += time;
     asio::steady_timer timer(m_io,
                              std::chrono::microseconds(static_cast<int>(time * 1000)));
@@ -189,10 +190,10 @@
 }
 
 asio::awaitable<void>
-Upstream::refuse(HttpExchange& exchange, int status, const char* why)
+Upstream::refuse(HttpExchange& exchange, int status, const char* reason)
 {
     ++m_counters.refused;
-    const json::object answer {{"refused", why}};
+    const json::object answer {{"refused", reason}};
     co_await exchange.respond(json_response(status, answer));
 }
 
