--- a/src/libcypressford/cold.cpp
+++ b/src/libcypressford/cold.cpp
@@ -13,19 +13,19 @@
 
 namespace {
 
-/// Parts of a cold upstream's rate: of one leader, of whom there may be two while daemons
-/// disagree, and of all daemons that choose by themselves.  The second is spread by chance
-/// and left small for that.
+/// Parts of a cold upstream's rate: of one leader, of which there may be two while daemons
+/// disagree, and of all daemons that send without a grant.  The second part is kept small
+/// because its calls are randomly distributed in time.
 constexpr double kGrantedPart = 0.5;
-constexpr double kSentPart = 0.25;
-/// Keeps intervals finite.
-constexpr double kSmallestRate = 1e-6;
+constexpr double kUngrantedPart = 0.25;
+/// Keeps intervals finite; calls per second.
+constexpr double kMinRate = 1e-6;
 
 Micros
 interval_of(double calls_per_s)
 {
     return static_cast<Micros>(static_cast<double>(kSecond)
-                               / std::max(calls_per_s, kSmallestRate));
+                               / std::max(calls_per_s, kMinRate));
 }
 
 } // namespace
@@ -58,7 +58,7 @@
 }
 
 void
-ColdState::assume(Micros now)
+ColdState::assume_cold(Micros now)
 {
     if (const Micros time = m_time.load(std::memory_order_relaxed); time > 0)
         note(now + time);
@@ -86,10 +86,10 @@
 ColdState::own_rate(int daemons) const
 {
     const int sharers = mutated(Mutation::ColdBoundForEach) ? 1 : std::max(1, daemons);
-    return kSentPart * rate() / sharers;
+    return kUngrantedPart * rate() / sharers;
 }
 
-/// A point of the interval that begins when the upstream turns cold.
+/// A point within the interval that starts when the upstream turns cold.
 Micros
 ColdState::first_send(int daemons) const
 {
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -2,14 +2,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// A rate that all daemons share, and the limits that upstreams name.
+/// A rate that all daemons share, and the rate limits that upstreams announce.
 ///
-/// What users saw: a replica that had named a limit of one request a second got 14 in 4 s
-/// from daemons that had passed on its answers; 11 are allowed.  Order: its answers began
-/// to name the limit; the leader of the set went on placing prompts there, and daemons sent
-/// them.  Cause: no sender read the limit, and nothing that a daemon kept of an upstream
-/// counted calls over all daemons.  Evidence: answers name it in the log, and the same
-/// daemons' next calls went there, as many a second as before.
+/// Guards against an upstream that announced a limit of one request a second and got 14 in
+/// 4 s, where 11 are allowed, from daemons that had passed on its answers: the leader of
+/// the set continued to place prompts there because no sender applied the limit and no
+/// daemon counted calls across all daemons.
 
 #include <doctest/doctest.h>
 
@@ -29,8 +27,8 @@
 namespace cypressford {
 namespace {
 
-/// What the platform allows of a limit of N requests a second, in any span of this length:
-/// 1.5 N times the span, and 5 more.
+/// For a limit of N requests a second the platform allows, in any span of this length, 1.5
+/// N times the span plus 5.
 constexpr Micros kSpan = 4 * kSecond;
 
 double
@@ -39,15 +37,15 @@
     return 1.5 * per_s * (static_cast<double>(kSpan) / kSecond) + 5;
 }
 
-/// Daemons that share one rate, each with its own view of it.
+/// Daemons that share one rate, each with its own state.
 class Sharers {
 public:
-    Sharers(int daemons, double per_s, bool led)
+    Sharers(int daemons, double per_s, bool has_leader)
     {
         m_count->set(daemons, 0);
         for (int daemon = 0; daemon < daemons; ++daemon) {
             m_rates.push_back(std::make_unique<SharedRate>(77 + daemon, m_count));
-            m_rates.back()->set_led(led);
+            m_rates.back()->set_has_leader(has_leader);
             m_rates.back()->set(per_s, 0);
         }
     }
@@ -60,9 +58,9 @@
     std::vector<std::unique_ptr<SharedRate>> m_rates;
 };
 
-/// Every daemon has a call for the upstream at each step.
+/// Every daemon has calls for the upstream at each step.
 std::vector<Micros>
-play(Sharers& sharers, Micros end, int leaders)
+simulate(Sharers& sharers, Micros end, int leaders)
 {
     constexpr Micros step = 10 * kMillisecond;
     std::vector<Micros> sent;
@@ -77,81 +75,83 @@
     return sent;
 }
 
-TEST_CASE("all daemons together stay within what a limit allows, from the first second on")
+TEST_CASE("all daemons together stay within a limit from the first second on")
 {
-    constexpr int lasts_s = 30;
+    constexpr int duration_s = 30;
     for (const int daemons : {1, 3, 9, 30, 100, 300, 710})
         for (const double per_s : {0.2, 1.0, 10.0, 1000.0})
             for (const int leaders : {0, 1, 2}) {
                 Sharers sharers(daemons, per_s, leaders > 0);
-                const auto sent = play(sharers, lasts_s * kSecond, leaders);
+                const auto sent = simulate(sharers, duration_s * kSecond, leaders);
                 const double all = static_cast<double>(sent.size());
-                const double used = all / (per_s * lasts_s);
+                const double used = all / (per_s * duration_s);
                 INFO("daemons ", daemons, ", limit ", per_s, ", leaders ", leaders);
                 CHECK(static_cast<double>(most_within(sent, kSpan)) <= allowed(per_s));
-                CHECK(all <= 1.5 * per_s * lasts_s + 5);
+                CHECK(all <= 1.5 * per_s * duration_s + 5);
                 if (per_s >= 10)
                     CHECK(used >= 0.7);
             }
 }
 
-TEST_CASE("a limit that goes up is used at once, one that goes down binds at once")
+TEST_CASE("raised and lowered limits both take effect at once")
 {
     Sharers sharers(9, 1, false);
-    play(sharers, 10 * kSecond, 0);
+    simulate(sharers, 10 * kSecond, 0);
     SharedRate& rate = sharers.of(3);
     rate.set(900, 10 * kSecond);
-    CHECK(rate.opens_at(RatePart::Own) <= 10 * kSecond + 20 * kMillisecond);
+    CHECK(rate.next_allowed_at(RatePart::Own) <= 10 * kSecond + 20 * kMillisecond);
     CHECK(rate.take(RatePart::Own, 10 * kSecond + 20 * kMillisecond));
     rate.set(1, 11 * kSecond);
     CHECK_FALSE(rate.take(RatePart::Own, 12 * kSecond));
     rate.clear();
     CHECK(rate.take(RatePart::Own, 12 * kSecond));
-    CHECK(rate.opens_at(RatePart::Own) == 0);
+    CHECK(rate.next_allowed_at(RatePart::Own) == 0);
 }
 
-TEST_CASE("a daemon that is gone is counted for a while")
+TEST_CASE("a daemon that is no longer alive is counted for a while")
 {
     SharerCount count;
     count.set(8, 0);
     count.set(3, kSecond);
-    count.set(3, SharerCount::kKeep);
+    count.set(3, SharerCount::kRemovalDelay);
     CHECK(count.get() == 8);
-    count.set(3, kSecond + SharerCount::kKeep);
+    count.set(3, kSecond + SharerCount::kRemovalDelay);
     CHECK(count.get() == 3);
-    count.set(4, 2 * kSecond + SharerCount::kKeep);
+    count.set(4, 2 * kSecond + SharerCount::kRemovalDelay);
     CHECK(count.get() == 4);
 }
 
-// ------------------------------------------------------------- what an upstream says
+// ------------------------------------------------------------- limits that upstreams
+// announce
 
 TEST_CASE("a limit holds until a call that was sent after it finds none")
 {
     SelfReport said;
-    CHECK(said.note_limit(5.0, 1, 100));
+    CHECK(said.record_limit(5.0, 1, 100));
     CHECK(said.limit().per_s() == 5);
-    // The answer to a call that was sent before overtook it.
-    CHECK_FALSE(said.note_limit({}, 99, 200));
+    // The answer to a call that was sent earlier arrives later.
+    CHECK_FALSE(said.record_limit({}, 99, 200));
     CHECK(said.limit().is_set());
-    CHECK_FALSE(said.note_limit(7.0, 99, 201));
+    CHECK_FALSE(said.record_limit(7.0, 99, 201));
     CHECK(said.limit().per_s() == 5);
-    CHECK(said.note_limit(7.0, 202, 210));
+    CHECK(said.record_limit(7.0, 202, 210));
     CHECK(said.limit().per_s() == 7);
-    CHECK(said.note_limit({}, 211, 220));
+    CHECK(said.record_limit({}, 211, 220));
     CHECK_FALSE(said.limit().is_set());
 }
 
-TEST_CASE("a limit of nothing leaves calls that learn of its end, an absurd one is none")
+TEST_CASE(
+    "a limit of zero still allows calls that find its end; an excessive one is ignored")
 {
     SelfReport said;
-    said.note_limit(0.0, 1, 2);
-    CHECK(said.limit().per_s() == SelfReport::kLeastLimit);
-    said.note_limit(1e-300, 3, 4);
-    CHECK(said.limit().per_s() == SelfReport::kLeastLimit);
-    said.note_limit(1e300, 5, 6);
+    said.record_limit(0.0, 1, 2);
+    CHECK(said.limit().per_s() == SelfReport::kMinLimitPerS);
+    said.record_limit(1e-300, 3, 4);
+    CHECK(said.limit().per_s() == SelfReport::kMinLimitPerS);
+    said.record_limit(1e300, 5, 6);
     CHECK_FALSE(said.limit().is_set());
-    CHECK(said.note_unread_limit());
-    CHECK_FALSE(said.note_unread_limit());
+    CHECK(said.record_unreadable_limit());
+    CHECK_FALSE(said.record_unreadable_limit());
 }
 
 TEST_CASE("limits that change with each answer let no more through than the highest")
@@ -159,7 +159,7 @@
     SelfReport said;
     std::vector<Micros> sent;
     for (Micros now = 1; now < 20 * kSecond; now += 10 * kMillisecond) {
-        said.note_limit(now / 10 % 2 == 0 ? 1.0 : 2.0, now - 1, now);
+        said.record_limit(now / 10 % 2 == 0 ? 1.0 : 2.0, now - 1, now);
         if (said.limit().take(RatePart::Own, now))
             sent.push_back(now);
     }
@@ -167,65 +167,65 @@
     CHECK(static_cast<double>(most_within(sent, kSpan)) <= allowed(1));
 }
 
-TEST_CASE("words of limits travel, and an older one undoes no later one")
+TEST_CASE("limit reports are passed on, and an older report does not undo a later one")
 {
     const UpstreamRun run {"i1", 7};
     SelfReport leader;
     SelfReport daemon;
-    daemon.note_limit(3.0, 1, kSecond);
-    CHECK(leader.note_word(*daemon.word(run, kSecond), kSecond));
+    daemon.record_limit(3.0, 1, kSecond);
+    CHECK(leader.apply_limit_report(*daemon.word(run, kSecond), kSecond));
     CHECK(leader.limit().per_s() == 3);
-    // Another daemon finds that it has ended.
+    // Another daemon finds that the limit has ended.
     SelfReport other;
-    other.note_limit(3.0, 1, kSecond);
-    other.note_limit({}, 2 * kSecond, 2 * kSecond + 1);
-    CHECK(leader.note_word(*other.word(run, 3 * kSecond), 3 * kSecond));
+    other.record_limit(3.0, 1, kSecond);
+    other.record_limit({}, 2 * kSecond, 2 * kSecond + 1);
+    CHECK(leader.apply_limit_report(*other.word(run, 3 * kSecond), 3 * kSecond));
     CHECK_FALSE(leader.limit().is_set());
-    // The first one has heard nothing since.
-    CHECK_FALSE(leader.note_word(*daemon.word(run, 4 * kSecond), 4 * kSecond));
-    CHECK(daemon.note_word(*leader.word(run, 4 * kSecond), 4 * kSecond));
+    // The first daemon has received nothing since.
+    CHECK_FALSE(leader.apply_limit_report(*daemon.word(run, 4 * kSecond), 4 * kSecond));
+    CHECK(daemon.apply_limit_report(*leader.word(run, 4 * kSecond), 4 * kSecond));
     CHECK_FALSE(daemon.limit().is_set());
-    CHECK_FALSE(leader.word(run, 4 * kSecond + SelfReport::kTellEnd));
-    // It names one again.
-    other.note_limit(2.0, 5 * kSecond, 5 * kSecond);
-    CHECK(leader.note_word(*other.word(run, 5 * kSecond), 5 * kSecond));
+    CHECK_FALSE(leader.word(run, 4 * kSecond + SelfReport::kEndReportTime));
+    // The upstream announces a limit again.
+    other.record_limit(2.0, 5 * kSecond, 5 * kSecond);
+    CHECK(leader.apply_limit_report(*other.word(run, 5 * kSecond), 5 * kSecond));
     CHECK(leader.limit().per_s() == 2);
 }
 
-TEST_CASE("a limit ends with its run, unless the next one may have named it")
+TEST_CASE("a limit ends with its run, unless the next run may have announced it")
 {
     constexpr std::int64_t born = 1'000'000;
-    for (const std::int64_t heard : {born + 50, born - 60'000}) {
+    for (const std::int64_t connected : {born + 50, born - 60'000}) {
         SelfReports reports;
-        reports.of({"i1", born - 90'000})->note_limit(1.0, 0, 1, heard);
+        reports.of({"i1", born - 90'000})->record_limit(1.0, 0, 1, connected);
         SharedRate& limit = reports.of({"i1", born})->limit();
-        CHECK(limit.is_set() == (heard > born));
+        CHECK(limit.is_set() == (connected > born));
         CHECK(limit.take(RatePart::Own, kSecond));
-        CHECK(limit.take(RatePart::Own, kSecond) == (heard < born));
+        CHECK(limit.take(RatePart::Own, kSecond) == (connected < born));
     }
 }
 
 // ------------------------------------------------------------- senders
 
-TEST_CASE("each call is counted where it is sent, whoever chose the upstream")
+TEST_CASE("each call is counted where it is sent, whichever daemon chose the upstream")
 {
     Fleet fleet;
     UpstreamState& ia = *fleet.ia;
-    ia.said->note_limit(1.0, 0, 1);
-    const Micros opens = ia.said->limit().opens_at(RatePart::Own);
-    CHECK_FALSE(begin_call(ia, CallCount::Own, opens - 1));
-    CHECK(begin_call(ia, CallCount::Own, opens));
-    CHECK_FALSE(begin_call(ia, CallCount::Own, opens));
-    // The leader counted it when it granted it.
-    CHECK(begin_call(ia, CallCount::Counted, opens));
-    ia.said->note_leaving();
-    CHECK_FALSE(begin_call(ia, CallCount::Counted, opens));
+    ia.said->record_limit(1.0, 0, 1);
+    const Micros next_allowed = ia.said->limit().next_allowed_at(RatePart::Own);
+    CHECK_FALSE(begin_call(ia, CallCount::Own, next_allowed - 1));
+    CHECK(begin_call(ia, CallCount::Own, next_allowed));
+    CHECK_FALSE(begin_call(ia, CallCount::Own, next_allowed));
+    // The leader counted the call when it granted it.
+    CHECK(begin_call(ia, CallCount::Counted, next_allowed));
+    ia.said->record_leaving();
+    CHECK_FALSE(begin_call(ia, CallCount::Counted, next_allowed));
 }
 
-TEST_CASE("others take what a limited upstream can't")
+TEST_CASE("requests beyond an upstream's limit go to other upstreams")
 {
     Fleet fleet;
-    fleet.ia->said->note_limit(1.0, 0, 1);
+    fleet.ia->said->record_limit(1.0, 0, 1);
     fleet.now = 1;
     int at_limited = 0;
     for (int i = 0; i < 40; ++i) {
@@ -240,29 +240,28 @@
     CHECK(at_limited <= 5);
 }
 
-/// What was seen: of 700 callers of three replicas that all name a limit, one was refused
-/// after 1.4 s.  Order: it was admitted, since its place was expected within its aim;
-/// places came later than that; the next one was due shortly after its aim, and it was
-/// refused. Cause: a request in the queue was judged by its aim, like one at the door.
-/// Evidence: the refusal says `resting`, and the next call went out 0.6 s after.
-TEST_CASE("a request that has waited for a place keeps it though it comes late")
+/// Guards against refusing a request in the queue, 1.4 s after it was admitted, because
+/// calls to limited upstreams became free later than expected and the next one was due
+/// shortly after its target latency.  Only a new request is judged by its target latency; a
+/// queued one keeps its place.
+TEST_CASE("a queued request keeps its place though the place comes later than expected")
 {
     FleetSpec spec;
     spec.target_latency = 2 * kSecond;
     Fleet fleet(spec);
-    fleet.ib->said->note_leaving();
-    fleet.ia->said->note_limit(10.0, 0, 1);
+    fleet.ib->said->record_leaving();
+    fleet.ia->said->record_limit(10.0, 0, 1);
     fleet.now = 2;
     REQUIRE(fleet.arrive() == nullptr);
     REQUIRE_FALSE(fleet.find<Reply>());
-    // Its place comes later than it was counted on.
-    fleet.ia->said->note_limit(0.2, 3, 4);
-    const Micros opens = fleet.ia->said->limit().opens_at(RatePart::Own);
-    REQUIRE(opens > spec.target_latency);
-    fleet.now = opens - 100 * kMillisecond;
+    // Its place comes later than expected.
+    fleet.ia->said->record_limit(0.2, 3, 4);
+    const Micros next_allowed = fleet.ia->said->limit().next_allowed_at(RatePart::Own);
+    REQUIRE(next_allowed > spec.target_latency);
+    fleet.now = next_allowed - 100 * kMillisecond;
     fleet.handle(Tick {});
     CHECK_FALSE(fleet.find<Reply>());
-    // Who comes now is told at once.
+    // A new request is refused at once.
     CHECK(fleet.arrive() == nullptr);
     CHECK(fleet.find<Reply>());
     for (; fleet.now < 10 * kSecond && !fleet.find<SendAttempt>();
@@ -272,12 +271,12 @@
     CHECK(fleet.find<SendAttempt>()->upstream == fleet.ia);
 }
 
-TEST_CASE("a prompt goes to a limited engine when its leader grants it")
+TEST_CASE("a prompt goes to a limited engine when the leader grants it")
 {
     Fleet fleet;
     const UpstreamSet& set = fleet.snapshot->sets[0];
-    fleet.ia->said->note_limit(2.0, 0, 1);
-    fleet.ib->said->note_leaving();
+    fleet.ia->said->record_limit(2.0, 0, 1);
+    fleet.ib->said->record_leaving();
     PromptPlacer placer;
     std::vector<Micros> placed;
     for (Micros now = 1; now < 20 * kSecond; now += 50 * kMillisecond) {
@@ -286,20 +285,20 @@
         query.reserve = true;
         if (placer.place(set, query, now))
             placed.push_back(now);
-        placer.note_ended(query.attempt);
+        placer.record_ended(query.attempt);
     }
     // Half of the limit.
     CHECK(placed.size() >= 14);
     CHECK(placed.size() <= 23);
 }
 
-TEST_CASE("pieces keep to a limit, and the wait tells of it")
+TEST_CASE("pieces stay within a limit, and the expected wait reflects it")
 {
     Fleet fleet;
     UpstreamSet set = fleet.snapshot->sets[0];
     set.spec.batch = BatchSpec {8, 2, 150 * kMillisecond, 16 * kMillisecond, 0, 0};
-    fleet.ia->said->note_limit(1.0, 0, 1);
-    fleet.ib->said->note_leaving();
+    fleet.ia->said->record_limit(1.0, 0, 1);
+    fleet.ib->said->record_leaving();
     PieceQueue queue;
     for (PieceId id = 1; id <= 80; ++id) {
         WaitingPiece piece;
--- a/src/libcypressford/upstream.cpp
+++ b/src/libcypressford/upstream.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 void
-UpstreamState::note_success(Micros service_time, Micros now)
+UpstreamState::record_success(Micros service_time, Micros now)
 {
     failures.store(0, std::memory_order_relaxed);
     ejections.store(0, std::memory_order_relaxed);
@@ -29,7 +29,7 @@
 }
 
 bool
-UpstreamState::note_failure(int limit, Micros now)
+UpstreamState::record_failure(int limit, Micros now)
 {
     const int in_row = failures.fetch_add(1, std::memory_order_relaxed) + 1;
     const int before = ejections.load(std::memory_order_relaxed);
@@ -53,14 +53,14 @@
         return;
     if (report.incarnation > known) {
         if (known != 0)
-            cold.assume(at);
+            cold.assume_cold(at);
         incarnation.store(report.incarnation, std::memory_order_relaxed);
         leaving.store(report.leaving, std::memory_order_relaxed);
     } else if (report.leaving) {
         mark_leaving();
     }
     const int own = in_flight.load(std::memory_order_relaxed);
-    // What is queued there waits for slots as well, whoever sent it.
+    // Queued calls wait for the same slots, whichever daemon sent them.
     const int all = report.in_flight + report.queued;
     others.store(std::max(0, all - own), std::memory_order_relaxed);
     queued.store(report.queued, std::memory_order_relaxed);
@@ -98,9 +98,9 @@
 
 namespace {
 
-/// Callers without a credential share an account that has no name.
+/// Callers without a credential share an account without a name.
 void
-add_nobody(ResolvedBundle& bundle)
+add_anonymous_account(ResolvedBundle& bundle)
 {
     constexpr double unbounded = 1e9;
     AccountSpec spec;
@@ -110,7 +110,7 @@
     bundle.accounts.push_back({spec, std::make_shared<AccountState>()});
 }
 
-/// Chooses by weight; `pick` is spread over the whole range of its type.
+/// Chooses by weight; `pick` is uniform over the whole range of its type.
 std::size_t
 choose_by_weight(const ResolvedBundle& bundle, const PathMatch& path, std::uint64_t pick)
 {
@@ -193,7 +193,7 @@
             resolved->paths_by_host[spec.host].add(spec.path_prefix, index, spec.weight);
     }
     add_accounts(*resolved, bundle.accounts);
-    add_nobody(*resolved);
+    add_anonymous_account(*resolved);
     return resolved;
 }
 
@@ -229,7 +229,7 @@
         auto& state = m_accounts[spec.name];
         if (!state)
             state = std::make_shared<AccountState>();
-        for (const auto& digest : spec.more_credentials)
+        for (const auto& digest : spec.additional_credentials)
             resolved.account_by_digest[digest] = resolved.accounts.size();
         resolved.account_by_digest[spec.credential_sha256] = resolved.accounts.size();
         resolved.accounts.push_back({spec, state, halls_of(spec.regions)});
@@ -248,7 +248,7 @@
             (hall == m_hall ? set.own : set.remote).push_back(upstream(address, hall));
     for (const auto* side : {&set.own, &set.remote})
         for (const auto& state : *side)
-            state->take_spec(spec);
+            state->apply_spec(spec);
     return set;
 }
 
@@ -259,7 +259,7 @@
     auto& state = m_upstreams[key_of(address, run)];
     if (!state) {
         auto said = run.identity.empty()
-            ? m_reports.unnamed(std::hash<std::string> {}(address))
+            ? m_reports.make_unregistered(std::hash<std::string> {}(address))
             : m_reports.of(run);
         state = std::make_shared<UpstreamState>(address, hall, run.identity, m_seed,
                                                 run.born, std::move(said));
@@ -295,7 +295,7 @@
         const bool evacuated = is_evacuated(state->hall);
         const bool before = state->evacuated.exchange(evacuated, std::memory_order_relaxed);
         if (before && !evacuated)
-            state->cold.assume(now);
+            state->cold.assume_cold(now);
     }
 }
 
--- a/src/libserve/relay/suspicion.cpp
+++ b/src/libserve/relay/suspicion.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Relayed requests under which upstreams end: which are refused, and what the ends of
-/// their runs tell all daemons.
+/// Quarantine of relayed requests under which upstreams end, and the reports of broken runs
+/// and full answers.
 
 #include "libserve/entry/worker.h"
 
@@ -39,21 +39,21 @@
         return {};
     if (!m_answered.contains(hash_of(request, call, account)))
         return fail(ErrorKind::Quarantined, to_text(digest));
-    m_kernel.ends->note_answered(digest);
+    m_kernel.ends->record_answer(digest);
     return {};
 }
 
 void
-Worker::note_answered(const RequestContext& context)
+Worker::record_answer(const RequestContext& context)
 {
     const Relay& relay = *context.relay;
-    m_answered.note(hash_of(relay.request, relay.call, context.account));
+    m_answered.add(hash_of(relay.request, relay.call, context.account));
     const SuspectViewPtr suspects = m_kernel.suspects.load();
     if (!suspects || suspects->empty())
         return;
     const RequestDigest digest = digest_of(relay.request, relay.call, context.account);
     if (suspects->is_suspect(digest))
-        m_kernel.ends->note_answered(digest);
+        m_kernel.ends->record_answer(digest);
 }
 
 std::uint64_t
@@ -70,8 +70,8 @@
 }
 
 void
-Worker::note_lost(const SendAttempt& send, const RequestContext& context,
-                  bool closed_there) const
+Worker::record_broken_run(const SendAttempt& send, const RequestContext& context,
+                          bool closed_by_peer) const
 {
     const Relay& relay = *context.relay;
     const RequestDigest digest = digest_of(relay.request, relay.call, context.account);
@@ -80,14 +80,14 @@
         .kv("request", context.log_id())
         .kv("identity", send.upstream->identity)
         .kv("digest", to_text(digest))
-        .kv("closed_there", closed_there)
+        .kv("closed_there", closed_by_peer)
         .kv("leaving", leaving);
-    // One that leaves ends as planned, whatever runs there.
-    if (closed_there && !leaving && m_kernel.ends)
-        m_kernel.ends->note({{send.upstream->identity, send.upstream->born},
-                             send.upstream->address,
-                             context.log_id(),
-                             digest});
+    // An upstream that is leaving ends as planned, whatever runs there.
+    if (closed_by_peer && !leaving && m_kernel.ends)
+        m_kernel.ends->record_broken_run({{send.upstream->identity, send.upstream->born},
+                                          send.upstream->address,
+                                          context.log_id(),
+                                          digest});
 }
 
 } // namespace cypressford
