--- a/src/adaptive.router/adaptive.cpp
+++ b/src/adaptive.router/adaptive.cpp
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Chooses the lower expected completion time of two random candidates, or the upstream
-/// that caches the session while that upstream is within its load bound.  Two candidates
-/// instead of all, since many daemons that read the same outdated report would otherwise
-/// all choose the same upstream.
+/// Chooses the upstream that caches the session while it is within its load bound and not
+/// slow, or else, of two random candidates, the one with the lower expected completion
+/// time.  Two candidates instead of all, since many daemons that read the same outdated
+/// report would otherwise all choose the same upstream.
 
 #include <cypressford/registry.h>
 #include <cypressford/router.h>
--- a/src/include/cypressford/bundle_fold.h
+++ b/src/include/cypressford/bundle_fold.h
@@ -2,9 +2,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Which bundle is in force and which halls are evacuated: a deterministic fold over
-/// the records of the bundles stream.  Daemons that have read the same records have the
-/// same state.
+/// Determines which bundle is in force and which halls are evacuated, by a deterministic
+/// fold over the records of the bundles stream.  Daemons that have read the same records
+/// have the same state.
 
 #pragma once
 
--- a/src/include/cypressford/call_dialect.h
+++ b/src/include/cypressford/call_dialect.h
@@ -3,7 +3,7 @@
 
 /// \file
 /// Interface of call-dialect plug-ins: how callers and upstreams of relayed pipelines
-/// encode the fields that the product reads or sets.
+/// encode the fields that daemons read or set.
 
 #pragma once
 
@@ -35,7 +35,7 @@
     std::string last_event; ///< id of the event after which the stream is to resume
     std::vector<PrefixPart> prefix;
     std::int64_t tokens_in = 0;
-    std::int64_t tokens_out = 0; ///< at most
+    std::int64_t tokens_out = 0; ///< upper bound
     std::vector<int> pieces; ///< number of pieces, by piece stage
     std::string piece_key; ///< identifies the request at upstreams that make pieces
 };
@@ -52,17 +52,18 @@
 
 /// What an upstream's answer reports of the call and of the upstream.
 struct UpstreamAnswer {
-    std::string attempt; ///< the request that it answers
+    std::string attempt; ///< id of the request that was answered
     bool is_signed = false;
     bool not_run = false; ///< the upstream guarantees that it did not run the request
-    bool identity_mismatch = false; ///< from another upstream than addressed; not run
+    bool identity_mismatch = false; ///< sent by another upstream than addressed; not run
     bool input_gone = false; ///< not run, because a result that it reads no longer exists
-    bool is_encoded = false; ///< not as the upstream made it: has a content encoding
+    bool is_encoded = false; ///< has a content encoding: not the upstream's own bytes
     Micros cold_left = 0; ///< how much longer the upstream is cold
     bool leaves = false; ///< the upstream reports that it is leaving
-    Micros rest = 0; ///< back-off of an upstream that refused the call; 0: none
-    bool backoff_unreadable = false; ///< a back-off is given, but can't be parsed
-    /// Requests a second that it accepts from all daemons together; empty: no limit given.
+    Micros rest = 0; ///< backoff requested with a refusal of the call; 0: none
+    bool backoff_unreadable = false; ///< a backoff is given, but can't be parsed
+    /// Requests a second that the upstream accepts from all daemons together; empty: no
+    /// limit given.
     std::optional<double> limit_per_s;
     bool limit_unreadable = false; ///< a limit is given, but can't be parsed
 };
@@ -103,7 +104,8 @@
     virtual HttpRequest forward(const HttpRequest& request, const ForwardedCall& call) const
         = 0;
     virtual UpstreamAnswer read_answer(const HttpResponse& response) const = 0;
-    /// Sets the time after which the caller may retry, in the finest unit that it reads.
+    /// Sets the time after which the caller may retry, in the finest unit that the
+    /// caller accepts.
     virtual void set_retry_after(HttpResponse& response, Micros after) const = 0;
 
     virtual HttpRequest piece_call(std::string_view identity,
--- a/src/include/cypressford/claims.h
+++ b/src/include/cypressford/claims.h
@@ -2,10 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// At most one run per Idempotency-Key, decided by the order of the platform's
+/// Ensures at most one run per Idempotency-Key, by the order of the platform's
 /// log.  A daemon appends a claim, reads the log up to it, and sends only if
-/// its claim is the first one for the key.  This needs no membership, clock or
-/// lease; clocks only bound how long a key must be remembered.
+/// its claim is the first one for the key.  This needs neither membership
+/// nor leases, and clocks only bound how long a key must be remembered.
 
 #pragma once
 
@@ -81,7 +81,7 @@
     Micros min_append_interval = 20 * kMillisecond; ///< between appends, after a burst
     int append_burst = 4; ///< appends that may follow without the interval
     std::size_t max_batch = 256; ///< of claims, and of ends, in one append
-    Micros outage_wait_limit = 500 * kMillisecond; ///< after it new claims fail at once
+    Micros outage_wait_limit = 500 * kMillisecond; ///< longer outages fail claims at once
     Micros append_retry_delay = 100 * kMillisecond; ///< after a failed append
 };
 
@@ -186,13 +186,14 @@
 using ClaimAction = std::variant<StartAppend, DecideClaim>;
 using ClaimActions = std::vector<ClaimAction>;
 
-/// The current time, by both clocks.
+/// The current time, by the monotonic clock and by the wall clock.
 struct ClaimTime {
     Micros now = 0;
     WallMs wall = 0;
 };
 
-/// Claims of one daemon.  Like Scheduler: takes events and returns actions.
+/// State machine of one daemon's claims: like Scheduler, it takes events and returns
+/// actions.
 class Claimer {
 public:
     Claimer(std::uint64_t maker, ClaimOptions options);
--- a/src/include/cypressford/daemon_table.h
+++ b/src/include/cypressford/daemon_table.h
@@ -19,8 +19,8 @@
 
 /// A daemon's place in the distribution of the directory.  One daemon of the fleet reads
 /// the directory, one reader for each part of a hall queries that daemon, and the others
-/// query the reader of their part.  A fleet of 295 daemons thus makes 2.6 calls a second,
-/// and 26 if each of its ten readers reads the directory by itself.
+/// query the reader of their part.  A fleet of 295 daemons thus makes 2.6 calls a second to
+/// the directory; it makes 26 if each of its ten readers reads the directory itself.
 enum class DirectoryRole : unsigned char {
     Fresh, ///< no daemon is known yet, not even this one: reads only daemon records
     Root, ///< reads the directory itself
@@ -38,11 +38,11 @@
         daemon; ///< the daemon to query; nothing: the directory itself
 };
 
-/// Refers a daemon that knows no other daemon to those it should query.
+/// Names the daemons that a daemon without records of any other daemon should query.
 struct DirectoryReferral {
     DirectoryRole role = DirectoryRole::Fresh; ///< of the daemon that is referred
     std::vector<DaemonRecord> ask; ///< in order of preference: query the first that answers
-    int alive = 0; ///< daemons of the fleet, as far as the referring daemon knows
+    int alive = 0; ///< daemons in the fleet, by the referring daemon's records
 };
 
 /// Records of daemons, with the time at which each last changed.  Leadership is not a
@@ -61,7 +61,7 @@
     /// True if another incarnation of that daemon is known than that of the record.
     bool knows_other_incarnation(const DaemonRecord& record) const;
 
-    /// The directory was read: a daemon without a new record by now has written none.
+    /// The directory was read at `now`: a daemon without a new record has not written one.
     /// Records expire only here, so that none expires while the directory can't be read.
     void on_directory_read(Micros now);
 
@@ -73,7 +73,8 @@
     /// called.  False if it was suspected before, or is not known.
     bool suspect(const std::string& peers_address);
     void trust(const std::string& peers_address);
-    /// False also once the daemon's record has expired, or says that it is stopping.
+    /// False also once the daemon's record has expired, or reports that it is
+    /// stopping.
     bool is_suspected(const std::string& peers_address) const;
 
     bool knows(const std::string& peers_address) const
--- a/src/include/cypressford/directory.h
+++ b/src/include/cypressford/directory.h
@@ -45,8 +45,8 @@
 struct DirectoryPage {
     std::vector<DirectoryRecord> records;
     Offset end = 0; ///< end of the topic
-    bool more = false; ///< newest: further keys follow the last one here
-    bool history_lost = false; ///< read: records from that offset on are no longer stored
+    bool more = false; ///< with newest(): there are keys after the last one here
+    bool history_lost = false; ///< with read(): the log no longer stores all of them
 };
 
 /// An upstream's own record.
@@ -161,7 +161,7 @@
     EvacuationTable m_evacuations;
     std::map<std::string, Known> m_known;
     std::set<std::string> m_changed; ///< identities changed since take_changes()
-    Micros m_expiry_due = std::numeric_limits<Micros>::max(); ///< none expires earlier
+    Micros m_expiry_due = std::numeric_limits<Micros>::max(); ///< earliest expiry
     std::uint64_t m_revision = 0;
 };
 
--- a/src/include/cypressford/directory_feed.h
+++ b/src/include/cypressford/directory_feed.h
@@ -108,10 +108,10 @@
     Micros wait = 0; ///< longest time to hold the query until there are changes
     bool takes_packed = false; ///< false from daemons of an earlier version
     /// Also requests records that changed nothing: a daemon that may become a reader of the
-    /// directory must know an upstream's newest sequence, or else it mistakes an older
+    /// directory must have an upstream's newest sequence, or else it mistakes an older
     /// record that was written late for the return of that upstream.
     bool wants_signs = false;
-    /// Record of a requester that knows no daemon, and requests a referral to one.
+    /// Record of a requester that requests a referral, as it has no daemon to query.
     std::optional<DaemonRecord> joiner;
     std::vector<std::string> lost; ///< addresses of daemons unreachable for the requester
     bool takes_unreachable = false; ///< false from daemons of an earlier version
--- a/src/include/cypressford/directory_view.h
+++ b/src/include/cypressford/directory_view.h
@@ -35,7 +35,7 @@
     Micros requested_at = 0; ///< last request to the directory itself
     bool is_pending = false; ///< the reader has not listed the topic yet, either
     bool overdue = false; ///< the reader of the hall lacks records that are missing here
-    bool just_changed = false; ///< by the last answer of the directory
+    bool just_changed = false; ///< the directory's last answer contained a change
     int misses = 0; ///< consecutive misses of the hall's reader, see record_reader_miss()
     int failures = 0; ///< consecutive failures of the directory itself
     RecordHistory history;
@@ -56,8 +56,8 @@
     std::vector<InvalidRecord> unread;
 };
 
-/// Applies records from the directory itself and from the reader of the hall, in any order
-/// of the two, and answers queries of other daemons.  Has no I/O and no clock.
+/// Applies records from the directory itself and from the reader of the hall, in any order,
+/// and answers queries of other daemons.  Has no I/O and no clock.
 class DirectoryView {
 public:
     static constexpr DirectoryTopic kTopics[]
@@ -116,7 +116,7 @@
     /// directory that has just ended.
     bool record_reader_miss(DirectoryTopic topic, Micros now);
 
-    // Referrals by daemons that may know others.
+    // Referrals to other daemons.
 
     /// There are daemons that refer others, so that records of daemons need not be listed
     /// at once.  `own`: this daemon's record.  `is_peer`: this daemon is one of them, and
@@ -129,7 +129,7 @@
     }
     /// No daemon answered this one's request for a referral.
     void on_peers_unresponsive() { m_peers_answer = false; }
-    /// True while this daemon knows no daemon to query.
+    /// True while this daemon has no daemon to query.
     bool wants_referral() const;
     void apply_referral(const DirectoryReferral& referral, Micros now);
 
@@ -138,7 +138,7 @@
     /// Daemons that are unreachable for this one.
     UnreachablePeers& unreachable() { return m_unreachable; }
 
-    /// Applies the record that another daemon sent of itself.
+    /// Applies the record that another daemon sent about itself.
     void meet(const DaemonRecord& daemon, Micros now);
     /// Time for which this daemon, having just started, still waits for others to announce
     /// themselves before it refers them; 0 or less: it refers them now.
@@ -164,13 +164,14 @@
     /// This daemon's role, and the daemon it queries.
     DirectorySource source() const;
     /// True if a reader that did not answer can be queried once more, for `answer_time`,
-    /// before the state must be refreshed: the reader may be waiting for its processor.
+    /// before the state must be refreshed: the reader may be waiting for processor
+    /// time.
     bool may_retry_reader(Micros answer_time, Micros now) const;
     /// Time at which a reader that sends keepalives but no answer is abandoned.
     Micros reader_deadline() const;
     /// Time until the next request to the directory itself; 0 or less: now.
     Micros time_until_read(DirectoryTopic topic, Micros now) const;
-    /// Delay before the next request to a directory that failed to answer that many times
+    /// Delay before the next request to a directory that failed to answer `failures` times
     /// in a row.  Readers don't back off: other daemons get changes only through them.
     Micros retry_delay(int failures) const;
     /// Between half of `time` and one and a half, fixed for this daemon, so that daemons
@@ -208,7 +209,7 @@
     FeedQuery::Cursor to_local_cursor(const FeedQuery::Cursor& cursor,
                                       LogGeneration generation) const;
     Micros time_until_listed(DirectoryTopic topic, Micros now) const;
-    /// True while all daemons may be starting and may not know each other yet.
+    /// True while all daemons may be starting and may lack each other's records.
     bool is_starting(Micros now) const;
     bool is_after_outage(DirectoryTopic topic, Micros now) const;
     bool apply_record(DirectoryTopic topic, const DirectoryRecord& record, Offset at,
@@ -252,7 +253,7 @@
     bool m_is_peer = false;
     bool m_had_earlier_record
         = false; ///< the directory holds an earlier incarnation's record
-    bool m_peers_answer = false; ///< as far as is known
+    bool m_peers_answer = false; ///< assumed until a request has no answer
     Micros m_last_new_daemon_at = 0; ///< when the last new daemon announced itself
     DirectoryReferral m_referral; ///< in use until the records of daemons are known
     SuspectTable m_suspects;
--- a/src/include/cypressford/lease.h
+++ b/src/include/cypressford/lease.h
@@ -60,8 +60,8 @@
     /// the whole duration, the lease may be taken.
     void on_gap(Micros now);
 
-    /// The record to append now, if any.  `wanted` says whether this daemon wants to
-    /// hold the lease.  Call append_ended() when the append has ended.
+    /// The record to append now, if any.  `wanted`: whether this daemon is to hold
+    /// the lease.  Call append_ended() when the append has ended.
     std::optional<LeaseRecord> next_append(bool wanted, Micros now);
     void append_ended();
 
@@ -81,7 +81,7 @@
     bool m_known = true; ///< false after a gap
     std::vector<Offset> m_seen_since_gap; ///< offsets of records read since the gap
     Offset m_latest = -1; ///< offset of the record in force; -1 for none
-    std::uint64_t m_holder = 0; ///< 0 for nobody
+    std::uint64_t m_holder = 0; ///< 0: no holder
     Offset m_fence = 0;
     std::optional<Micros> m_last_record_at; ///< when the last record was read
     std::optional<Micros> m_append_started_at; ///< of the append in progress
--- a/src/include/cypressford/limit_word.h
+++ b/src/include/cypressford/limit_word.h
@@ -16,8 +16,8 @@
 struct LimitWord {
     UpstreamRun run;
     double per_s = 0; ///< requests per second; 0: no limit any more
-    /// Age of the answer that announced the limit; if there is none any more, the time
-    /// since the call was sent whose answer announced none.
+    /// Age of the answer that announced the limit; without a limit, the time since the
+    /// sending of the call whose answer announced none.
     Micros ago = 0;
 
     bool operator==(const LimitWord&) const = default;
--- a/src/include/cypressford/piece_order.h
+++ b/src/include/cypressford/piece_order.h
@@ -43,7 +43,7 @@
     std::vector<std::string> unreachable; ///< requests that did not reach their upstream
 };
 
-/// Asks which engine of a set should read a prompt.
+/// Query for the engine of a set that should read a prompt.
 struct PlaceQuery {
     std::string upstream_set;
     PromptQuery prompt;
--- a/src/include/cypressford/policy.h
+++ b/src/include/cypressford/policy.h
@@ -3,7 +3,7 @@
 
 /// \file
 /// Mechanisms of scheduling and placement that can be switched off individually, to
-/// measure the effect of each (ablation).  All are on unless settings say otherwise.
+/// measure the effect of each (ablation).  All are on unless switched off in the settings.
 
 #pragma once
 
@@ -24,7 +24,7 @@
     EarlyRelease, ///< results are released when they are read, not when the request ends
     LatestStart, ///< stages start as late as the longest path allows
     TransferHalls, ///< stages run where the fewest bytes need to be transferred
-    StableEngines, ///< the engine of a prompt is found by hashing, alike at each leader
+    StableEngines, ///< the engine of a prompt is found by hashing, the same at each leader
     ToleratedCost, ///< an engine that caches the prompt may cost somewhat more
     NearResults, ///< engines near the results, if the results outweigh the cached prompt
     EjectUnresponsive, ///< upstreams that do not start to answer are ejected
--- a/src/include/cypressford/reach_table.h
+++ b/src/include/cypressford/reach_table.h
@@ -19,16 +19,16 @@
 
 /// A circuit breaker for each upstream, and one for each pair of halls.
 ///
-/// Handles the load of a large fleet while a hall is cut off or part of the upstreams fail:
-/// each daemon sends a given upstream a request only every few minutes, so that alone it
-/// never detects the failure, and every request placed there first costs a failed
-/// connection (250 ms).  An entry can only cost time: an upstream that is avoided by
-/// mistake is retried after kRetryInterval, and its first answer clears the entry.
+/// In a large fleet, each daemon sends a given upstream a request only every few minutes.
+/// While a hall is cut off or some upstreams have failed, no daemon alone would detect
+/// this, and every request placed there would first cost a failed connection (250 ms).  An
+/// entry can only cost time: an upstream that is avoided by mistake is retried after
+/// kRetryInterval, and its first answer clears the entry.
 class ReachTable {
 public:
     /// After this many different upstreams of a hall have failed for the daemons of another
     /// hall without an answer in between, the hall is assumed to be cut off.  One or two
-    /// failures may be failed upstreams.
+    /// failures may be due to the upstreams themselves.
     static constexpr std::size_t kHallFailureThreshold = 3;
     /// Between two trial requests to an avoided upstream or hall: two connection time-outs.
     static constexpr Micros kRetryInterval = 500 * kMillisecond;
--- a/src/include/cypressford/registry.h
+++ b/src/include/cypressford/registry.h
@@ -3,7 +3,7 @@
 
 /// \file
 /// Plug-ins register themselves by name.  The kernel creates them by the name given in
-/// settings or bundle and has no list of them itself.
+/// settings or bundle and contains no list of plug-ins.
 
 #pragma once
 
--- a/src/include/cypressford/scheduler.h
+++ b/src/include/cypressford/scheduler.h
@@ -3,7 +3,7 @@
 
 /// \file
 /// Scheduling of requests as a pure state machine: events and a time go in, actions come
-/// out.  No I/O, no clock and no randomness of its own, so that the same code runs in a
+/// out.  No I/O, no clock and no source of randomness, so that the same code runs in a
 /// daemon, embedded in another program and under a fuzzer with virtual time.
 
 #pragma once
--- a/src/include/cypressford/self_report.h
+++ b/src/include/cypressford/self_report.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// What one run of an upstream has reported about itself to this daemon, in any answer.
+/// Reports of a run of an upstream about itself, in any of its answers to this daemon.
 
 #pragma once
 
@@ -78,10 +78,12 @@
     SharedRate& limit() { return m_limit; }
     const SharedRate& limit() const { return m_limit; }
 
-    /// A run that is leaving has ended by then; otherwise it gets calls again.
+    /// A copied leaving mark expires after this time: a run that is leaving has ended by
+    /// then, and any other run gets calls again.
     static constexpr Micros kMayBeLeavingTime = 30 * kSecond;
-    /// Lower announced limits are raised to this.  A limit of 0 would leave no call whose
-    /// answer could end it; this few calls stay within the excess that any limit allows.
+    /// Lower announced limits are raised to this.  With a limit of 0, no call
+    /// would be sent whose answer could end the limit; calls at this rate stay within the
+    /// excess that any limit allows.
     static constexpr double kMinLimitPerS = 0.05;
     /// The end of a limit is reported to other daemons for this time.
     static constexpr Micros kEndReportTime = 10 * kSecond;
@@ -104,7 +106,8 @@
     std::atomic<Micros> m_limit_received_at {0}; ///< of the last answer that announced one
     std::atomic<std::int64_t> m_limit_connected_ms {0};
     std::atomic<bool> m_limit_unreadable {false};
-    std::atomic<Micros> m_limit_ended_at {0}; ///< when the call that found none was sent
+    /// When the call was sent whose answer announced no limit any more.
+    std::atomic<Micros> m_limit_ended_at {0};
 };
 
 /// The reports of all runs, including those that the platform no longer lists: an entry may
@@ -122,7 +125,7 @@
 
     /// The report of a run; created if there is none.
     std::shared_ptr<SelfReport> of(const UpstreamRun& run);
-    /// A report that only its upstream refers to.
+    /// A report that is not kept in this table; only its upstream refers to it.
     std::shared_ptr<SelfReport> make_unregistered(std::uint64_t seed) const;
     /// The run is no longer listed.  Its report is kept until kMaxUnlisted other runs have
     /// been unlisted after it.
--- a/src/include/cypressford/shared_rate.h
+++ b/src/include/cypressford/shared_rate.h
@@ -84,7 +84,7 @@
     /// Sets the requests per second of all daemons together; must be over 0.
     void set(double per_s, Micros now);
     /// Takes over the rate of another run, which may not apply here: the first call of each
-    /// part is allowed at once, and its answer confirms the rate or not.
+    /// part is allowed at once, and its answer shows whether the rate applies.
     void adopt(const SharedRate& other) { m_per_s.store(other.per_s()); }
     /// Removes the bound.
     void clear() { m_per_s.store(0, std::memory_order_relaxed); }
--- a/src/include/cypressford/silence.h
+++ b/src/include/cypressford/silence.h
@@ -13,7 +13,7 @@
 
 namespace cypressford {
 
-/// Watches the keepalives of one daemon, requested by another one while its order waits
+/// Monitors the keepalives that a daemon requests from another one while its order waits
 /// there.
 class UnresponsiveDetector {
 public:
@@ -32,8 +32,8 @@
         // After a missed keepalive the next request follows at once: the loss of a leader
         // is then detected after 0.45 s on average, and after 0.70 s with a delay of 200 ms
         // here (silence_test).  Answers are due within 1.0 to 1.6 s; in the two seconds
-        // after a hall is cut off, callers of 89 daemons got 0.78 of their value instead of
-        // 0.73.
+        // after a hall is cut off, callers of 89 daemons got 0.78 of the value of their
+        // answers instead of 0.73.
         return m_misses > 0 ? 0 : m_interval;
     }
     /// Delay before the first keepalive request.
--- a/src/include/cypressford/suspects.h
+++ b/src/include/cypressford/suspects.h
@@ -86,7 +86,7 @@
     static constexpr int kEndsToQuarantine = 3;
     /// An end doesn't count for a request if another request that ran there has more ends:
     /// a stream that is resumed twice may run, on all its engines, beside the request that
-    /// ends them (seen in one of four test runs with a restart each 0.12 s).  Requests that
+    /// ends them (in one of four test runs with a restart every 0.12 s).  Requests that
     /// have equally many ends and always ran together can't be told apart; all of them are
     /// refused at this number.
     static constexpr int kEndsOfInseparable = 5;
--- a/src/include/cypressford/topic_listing.h
+++ b/src/include/cypressford/topic_listing.h
@@ -49,9 +49,9 @@
     /// Newest records at that offset or later, in the order of the log.
     std::vector<OffsetRecord> since(Offset from) const;
 
-    /// All records.  Those that follow the listing's end are in `history`.  Compressed
-    /// again only once too many follow: hundreds of daemons that start at the same time
-    /// request the same listing.
+    /// All records up to the listing's end; later records are in `history`.  The listing is
+    /// compressed again only once too many records follow it, since hundreds of daemons
+    /// that start at the same time request the same listing.
     const PackedListing& packed(const RecordHistory& history);
 
 private:
--- a/src/include/cypressford/upstream_kind.h
+++ b/src/include/cypressford/upstream_kind.h
@@ -63,7 +63,7 @@
     /// Request for the remainder of a stream, for kinds that have streams.
     virtual HttpRequest resume(std::string_view, std::size_t) const { return {}; }
 
-    /// Request that ends a stream whose reader has disconnected for good.
+    /// Request that ends a stream whose reader has disconnected and will not resume it.
     virtual HttpRequest cancel(std::string_view) const { return {}; }
 
     // Model-loading orders, for kinds that hold models.
--- a/src/libcypressford/candidates.h
+++ b/src/libcypressford/candidates.h
@@ -28,12 +28,12 @@
     /// hall.
     std::string_view near;
     bool any_hall = false; ///< no preference among halls
-    /// Cold upstreams are left out except for the one with this identity, for which the
-    /// leader of the set has granted the call ...
+    /// Identity of the upstream for which the leader of the set has granted the call: it
+    /// may be cold, while other cold upstreams are left out unless `allow_cold` is set.
     std::string_view granted;
     bool is_counted = false; ///< the leader counted the call against the upstream's limit
-    /// ... and those to which this daemon, one of `daemons`, may send a call without a
-    /// grant.
+    /// Includes the cold upstreams to which this daemon, one of `daemons`, may send a call
+    /// without a grant.
     bool allow_cold = false;
     const HallLimit* halls = nullptr; ///< allowed halls; null: all
     int daemons = 1;
@@ -67,7 +67,7 @@
     int daemons = 1; ///< of all halls
 };
 
-/// Concurrent calls that this daemon can run, as a fraction: its share of the upstreams of
+/// Concurrent calls that this daemon can run, not rounded: its share of the upstreams of
 /// the local hall, or of all halls if the local hall has no warm and usable upstream.
 /// `typical`: duration of a call, used to convert a rate to slots.
 double share_of_slots(const UpstreamSet& set, Sharers sharers, Micros typical, Micros now);
@@ -79,9 +79,9 @@
 /// Upstreams of all halls that are not evacuated.
 int count_in_service(const UpstreamSet& set);
 
-/// If no upstream is usable now: time until the first one is, of those in service that are
-/// in backoff or have used up what their limit allows that part to send.  Else 0, also if
-/// no upstream is in service.
+/// If no upstream is usable now: time until the first of those in service becomes usable,
+/// when its backoff ends or its limit allows that part a call.  0 if an upstream is usable,
+/// or none is in service.
 Micros time_to_first_usable(const UpstreamSet& set, Micros now, const HallLimit& halls = {},
                             RatePart part = RatePart::Own);
 
--- a/src/libcypressford/cold_test.cpp
+++ b/src/libcypressford/cold_test.cpp
@@ -26,7 +26,7 @@
 /// Calls that a cold upstream withstands in any one second before it fails.
 constexpr std::size_t kBound = 18;
 
-/// Each daemon in turn has a request for the upstream every 50 ms.
+/// Each daemon has a request for the upstream every 50 ms, one daemon after the other.
 std::vector<Micros>
 simulate(int daemons, Micros end, const std::function<bool(int, Micros)>& may)
 {
--- a/src/libcypressford/directory_feed.cpp
+++ b/src/libcypressford/directory_feed.cpp
@@ -27,8 +27,8 @@
 /// directory, one hold at the root reader, one hold at the reader of its hall and the
 /// messages together; if the root reader fails, as old as reader_stale_after and one hold.
 /// Both sums must stay below stale_after, or else every follower queries the directory in
-/// addition to its reader (295 daemons, bound 4 s, heartbeat 1.2 s, 2.2 s of 1.92: 712
-/// changes of readers in normal operation, and half of all calls).
+/// addition to its reader (295 daemons, bound 4 s, heartbeat 1.2 s, a sum of 2.2 s
+/// instead of 1.92 s: 712 changes of readers in normal operation, and half of all calls).
 constexpr double kReaderStaleFraction = 0.75;
 constexpr double kWaitFraction = 0.42;
 constexpr double kReaderHoldFraction = 0.25;
--- a/src/libcypressford/directory_view.cpp
+++ b/src/libcypressford/directory_view.cpp
@@ -186,7 +186,7 @@
     return records;
 }
 
-/// Keeps the record for daemons that know nothing yet.  A configuration that is not in
+/// Keeps the record for daemons that have no records yet.  A configuration that is not in
 /// force is left out, so that they don't start with it.
 void
 DirectoryView::record_newest(DirectoryTopic topic, const DirectoryRecord& record, Offset at,
--- a/src/libcypressford/directory_view_timing.cpp
+++ b/src/libcypressford/directory_view_timing.cpp
@@ -35,11 +35,11 @@
 constexpr Micros kDiscoveryTime = 600 * kMillisecond;
 /// Discovery ends early once no new daemon has announced itself for this time.
 constexpr Micros kDiscoveryQuietTime = 150 * kMillisecond;
-/// A daemon that gets no records from a reader lists the topic itself after this time, ...
+/// A daemon that gets no records from a reader lists the topic itself after this time.
 constexpr Micros kFeedWaitLimit = 3 * kSecond;
-/// ... a reader of a hall sooner, ...
+/// The same for a reader of a hall.
 constexpr Micros kReaderFeedWaitLimit = 1500 * kMillisecond;
-/// ... and later if its reader answers but has not listed the topic yet, either.
+/// The same for a daemon whose reader answers but has not listed the topic yet, either.
 constexpr Micros kPendingFeedWaitLimit = 8 * kSecond;
 /// Spacing of the daemons' listings, so that the directory can answer those of any fleet.
 constexpr Micros kListingSpacing = 20 * kMillisecond;
@@ -50,7 +50,7 @@
 /// Up to this size of the fleet, each daemon lists the directory itself, which is fastest:
 /// the directory can answer that many listings at the same time.
 constexpr int kSmallFleet = 32;
-/// Smallest fleet that a daemon assumes, as it may not know all daemons yet.
+/// Smallest fleet that a daemon assumes, as it may not have the records of all yet.
 constexpr int kMinAssumedDaemons = 200;
 
 } // namespace
@@ -128,18 +128,19 @@
 Micros
 DirectoryView::time_until_referral(Micros now) const
 {
-    // A daemon that ran before knows the fleet from its records; at the very first start
-    // there are few records yet.
+    // A daemon that ran before finds the records of the fleet in the directory; at the very
+    // first start there are few records yet.
     if (of(DirectoryTopic::Daemons).was_listed && m_had_earlier_record)
         return 0;
     const Micros quiet = std::max(m_started_at, m_last_new_daemon_at) + kDiscoveryQuietTime;
     return std::min(m_started_at + kDiscoveryTime, quiet) - now;
 }
 
-/// Daemons that know a reader wait for its records, and daemons that know no other wait for
-/// a referral: when hundreds start at the same time and each lists thousands of upstreams,
-/// they request more than the directory can answer.  A daemon that gets no records in time
-/// lists the topic itself, at a rate that does not grow with the fleet.
+/// A daemon with a known reader waits for its records, and a daemon without a record of any
+/// other waits for a referral: when hundreds of daemons start at the same time and each
+/// lists thousands of upstreams, they request more than the directory can answer.  A daemon
+/// that gets no records in time lists the topic itself, at a rate that does not grow with
+/// the fleet.
 Micros
 DirectoryView::time_until_listed(DirectoryTopic topic, Micros now) const
 {
@@ -201,8 +202,8 @@
         // An unavailable directory is not polled without a pause.
         return std::max(view.as_of + stale, view.requested_at + kRetryDelay) - now;
     }
-    // Right after the start, most daemons soon find that another one is the root reader, so
-    // none of them holds a request at the directory.
+    // Right after the start, most daemons assume the role of root reader only until the
+    // records of others arrive, so none of them holds a request at the directory.
     if (topic == DirectoryTopic::Configuration && !is_starting(now))
         return 0;
     const Micros interval
--- a/src/libcypressford/piece_queue.cpp
+++ b/src/libcypressford/piece_queue.cpp
@@ -116,8 +116,8 @@
     return std::min(full_call_time(set.spec), slack / kHallWaitSlackDivisor);
 }
 
-/// True while the piece should go to its own hall only.  Does not wait for a hall without
-/// a usable upstream.
+/// True while the piece should go to its own hall only; false if that hall has no usable
+/// upstream.
 bool
 PieceQueue::waits_for_hall(const WaitingPiece& piece, const UpstreamSet& set,
                            Micros now) const
--- a/src/libcypressford/prompt_placer.cpp
+++ b/src/libcypressford/prompt_placer.cpp
@@ -36,13 +36,13 @@
 constexpr double kMinHallFraction = 0.02;
 /// Upstreams that were unreachable for other requests are avoided only while at least this
 /// fraction of the usable upstreams is left; otherwise the fault is assumed to be the
-/// reporter's.  One hall of six is enough to go on.
+/// reporter's.  One hall of six is enough.
 constexpr double kMinUnavoidedFraction = 0.16;
 /// In a set of at most this many upstreams, all are examined.
 constexpr std::size_t kMaxExaminedWhole = 256;
 /// In a larger set, about this many upstreams that rank first for the prompt are examined.
 constexpr std::size_t kExaminedFirst = 64;
-/// Upstreams that hold parts of the prompt: at most this many are examined as well.
+/// Maximum number of upstreams holding parts of the prompt that are examined as well.
 constexpr std::size_t kMaxHolders = 32;
 /// A placement without a further report is dropped after this time.
 constexpr Micros kPlacementTimeout = 15 * kSecond;
--- a/src/libcypressford/reach_table.cpp
+++ b/src/libcypressford/reach_table.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// An upstream that was not tried for this time has ended: all others are tried every
-/// kRetryInterval.
+/// An upstream that was not tried for this time is assumed to have ended: others are tried
+/// every kRetryInterval.
 constexpr Micros kExpiryTime = 60 * kSecond;
 
 } // namespace
--- a/src/libcypressford/restart_test.cpp
+++ b/src/libcypressford/restart_test.cpp
@@ -133,7 +133,7 @@
     CHECK(placer.last_read().unread == 5000);
 }
 
-/// Keepalives are not forwarded, so a daemon that learns of a new run from a reader must
+/// Keepalives are not forwarded, so a daemon that receives a new run from a reader must
 /// accept it whatever it has recorded for the previous run.
 TEST_CASE("daemons that follow a reader receive a new run")
 {
--- a/src/libcypressford/restored_fleet_load_test.cpp
+++ b/src/libcypressford/restored_fleet_load_test.cpp
@@ -24,8 +24,9 @@
         REQUIRE(fleet.run(20 * kSecond).all_serve_at >= 0);
         results.push_back(fleet.restore(lost, limit));
         const RestoreResult& result = results.back();
-        MESSAGE(daemons, " daemons know after ", result.known_after / kMillisecond, " ms, ",
-                result.calls, " calls in 5 s, of which ", result.vital_calls,
+        MESSAGE(daemons, " daemons have the record after ",
+                result.known_after / kMillisecond, " ms, ", result.calls,
+                " calls in 5 s, of which ", result.vital_calls,
                 " for configuration, upstreams and suspects");
         REQUIRE(result.known_after >= 0);
         CHECK(result.known_after < 2 * kSecond);
--- a/src/libcypressford/result_memory.cpp
+++ b/src/libcypressford/result_memory.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr double kBytesPerMb = 1e6;
-/// Steps of the margin, as fractions of the memory: each refusal adds two results out of
-/// fifty, and about twenty calls that fit take the step back (an additive increase, since
-/// refusals are expensive and memory is not).
+/// Steps of the margin, as fractions of the memory: each refusal adds one result out of
+/// fifty, and ten calls that fit take the step back (an additive increase, since refusals
+/// are expensive and memory is not).
 constexpr double kMarginIncrease = 0.02;
 constexpr double kMarginDecrease = 0.002;
 constexpr double kMaxMargin = 0.12;
--- a/src/libcypressford/scheduler_admission.cpp
+++ b/src/libcypressford/scheduler_admission.cpp
@@ -126,7 +126,7 @@
 }
 
 /// Time until the next unassigned send slot of a stage whose upstreams are all
-/// rate-limited. Each refused caller is assigned a different slot, so that callers don't
+/// rate-limited.  Each refused caller is assigned a different slot, so that callers don't
 /// retry at the same moment.  0 if an upstream without a limit is usable, or no upstream at
 /// all.
 Micros
@@ -249,8 +249,8 @@
     if (!fresh) {
         // While all upstreams in service are in backoff or have used up their limits, the
         // capacity is that at the time when the first of them is usable again.
-        // The part of a limit that the leader of the set grants is not known here: the
-        // leader is asked for each call.
+        // The leader of a set grants each call; its use of the granted part is not recorded
+        // here.
         const RatePart part = set.spec.has_leader() ? RatePart::Granted : RatePart::Own;
         const Micros backoff = time_to_first_usable(set, now, {}, part);
         const Micros then = now + backoff;
--- a/src/libcypressford/scheduler_settling.cpp
+++ b/src/libcypressford/scheduler_settling.cpp
@@ -43,8 +43,8 @@
     }
 }
 
-/// Reports only an upstream chosen by the leader of the set: the leader does not know which
-/// other upstreams were sent the request.
+/// Reports only an upstream chosen by the leader of the set: the leader has no record of
+/// other upstreams to which the request was sent.
 void
 Scheduler::Impl::report_unreachable(const Attempt& attempt)
 {
--- a/src/libcypressford/self_report_test.cpp
+++ b/src/libcypressford/self_report_test.cpp
@@ -76,7 +76,7 @@
         before->record_leaving(received_at + 1, born + 50);
         const auto next = reports.of({"i1", born});
         CHECK(next->may_be_leaving(received_at + 1) == (connected > born));
-        // A run that was drained and restarted in place is not excluded for good.
+        // A run that was drained and restarted in place is not excluded permanently.
         CHECK_FALSE(next->may_be_leaving(received_at + SelfReport::kMayBeLeavingTime));
         CHECK_FALSE(next->leaves());
         next->record_leaving(received_at, born + 100);
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -5,7 +5,7 @@
 /// A rate that all daemons share, and the rate limits that upstreams announce.
 ///
 /// Guards against an upstream that announced a limit of one request a second and got 14 in
-/// 4 s, where 11 are allowed, from daemons that had passed on its answers: the leader of
+/// 4 s, where 11 are allowed, from daemons that had passed on its answers.  The leader of
 /// the set continued to place prompts there because no sender applied the limit and no
 /// daemon counted calls across all daemons.
 
@@ -121,8 +121,7 @@
     CHECK(count.get() == 4);
 }
 
-// ------------------------------------------------------------- limits that upstreams
-// announce
+// --------------------------------------- limits that upstreams announce
 
 TEST_CASE("a limit holds until a call that was sent after it finds none")
 {
@@ -243,8 +242,8 @@
 /// Guards against refusing a request in the queue, 1.4 s after it was admitted, because
 /// calls to limited upstreams became free later than expected and the next one was due
 /// shortly after its target latency.  Only a new request is judged by its target latency; a
-/// queued one keeps its place.
-TEST_CASE("a queued request keeps its place though the place comes later than expected")
+/// queued one keeps its send slot.
+TEST_CASE("a queued request keeps its send slot though the slot comes later than expected")
 {
     FleetSpec spec;
     spec.target_latency = 2 * kSecond;
@@ -254,7 +253,7 @@
     fleet.now = 2;
     REQUIRE(fleet.arrive() == nullptr);
     REQUIRE_FALSE(fleet.find<Reply>());
-    // Its place comes later than expected.
+    // Its send slot comes later than expected.
     fleet.ia->said->record_limit(0.2, 3, 4);
     const Micros next_allowed = fleet.ia->said->limit().next_allowed_at(RatePart::Own);
     REQUIRE(next_allowed > spec.target_latency);
--- a/src/libcypressford/suspects.cpp
+++ b/src/libcypressford/suspects.cpp
@@ -97,7 +97,7 @@
 is_quarantined(const std::set<UpstreamRun>& ends, const MaxEndsByUpstream& most)
 {
     int own = 0; // ends at which no other request has more ends than this one
-    bool alone = false; // at one of these, no other request has as many either
+    bool alone = false; // at one of these, each other request has fewer ends
     for (const UpstreamRun& upstream : ends) {
         const MaxEnds& there = most.at(upstream);
         if (there.ends > ends.size())
@@ -177,7 +177,7 @@
     m_lost -= std::exchange(known.is_lost, false) ? 1 : 0;
 }
 
-/// Keeps the order of the records and moves them behind all that the log holds.
+/// Moves the records behind all records of the log, in their present order.
 void
 SuspectTable::on_log_restored()
 {
--- a/src/libcypressford/test_starting_fleet.h
+++ b/src/libcypressford/test_starting_fleet.h
@@ -31,7 +31,7 @@
 constexpr Micros kCallTime = 4 * kMillisecond;
 constexpr Micros kOneWay = 1 * kMillisecond;
 constexpr Micros kTick = 20 * kMillisecond;
-/// Time after which all daemons know the newest records, and have finished their start.
+/// Time after which all daemons have the newest records and have finished their start.
 constexpr Micros kSettleTime = 6 * kSecond;
 
 /// Events, executed in the order of their times.
@@ -97,7 +97,7 @@
 };
 
 struct RestoreResult {
-    Micros known_after = -1; ///< time until all daemons know; -1: not within the limit
+    Micros known_after = -1; ///< time until all have the record; -1: not within the limit
     int calls = 0; ///< within the limit
     int vital_calls = 0;
 };
--- a/src/roundrobin.router/roundrobin.cpp
+++ b/src/roundrobin.router/roundrobin.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Chooses the upstreams in turn.  Baseline for comparisons.
+/// Chooses the upstreams in cyclic order.  Baseline for comparisons.
 
 #include <cypressford/registry.h>
 #include <cypressford/router.h>
