--- a/src/include/cypressford/directory.h
+++ b/src/include/cypressford/directory.h
@@ -131,7 +131,7 @@
     void mark_listed(const std::string& identity);
     /// The record of that identity was deleted.
     void drop(const std::string& identity, Micros now, bool after_outage);
-    /// How long records are kept that the directory may have lost.
+    /// How long records that the directory may have lost are kept.
     Micros removal_grace_period() const { return m_removal_grace_period; }
     /// Removes upstreams and evacuations whose grace period has ended.
     void expire(Micros now);
--- a/src/include/cypressford/directory_feed.h
+++ b/src/include/cypressford/directory_feed.h
@@ -31,8 +31,8 @@
     bool is_keepalive = false; ///< of an upstream: the record changed nothing
 };
 
-/// The newest records of one topic that changed something.  Bounded: the oldest records are
-/// evicted, but never the newest, however large it is: a record that is not kept is not
+/// The newest records of one topic that changed something, in bounded memory: the oldest
+/// are evicted, but never the newest, however large.  A record that is not kept is not
 /// passed on, and every daemon of the hall reads it from the directory (5.1 MB instead of
 /// 2.6 for two changes of a configuration of 1.3 MB at two daemons).
 class RecordHistory {
--- a/src/include/cypressford/directory_view.h
+++ b/src/include/cypressford/directory_view.h
@@ -98,7 +98,7 @@
     /// offsets are not valid any more: all topics must be listed again, and answers to
     /// requests sent before must be ignored.  True if so.
     bool record_generation(LogGeneration generation, Micros now);
-    /// The same for a generation reported by another daemon, which may be an older one.
+    /// The same for a generation reported by another daemon, which may be older.
     bool receive_generation(LogGeneration generation, Micros now)
     {
         return generation > m_generation && record_generation(generation, now);
@@ -127,7 +127,7 @@
         m_is_peer = is_peer;
         m_peers_answer = true;
     }
-    /// No daemon answered this one's request for a referral.
+    /// No daemon answered this daemon's request for a referral.
     void on_peers_unresponsive() { m_peers_answer = false; }
     /// True while this daemon has no daemon to query.
     bool wants_referral() const;
@@ -141,7 +141,7 @@
     /// Applies the record that another daemon sent about itself.
     void meet(const DaemonRecord& daemon, Micros now);
     /// Time for which this daemon, having just started, still waits for others to announce
-    /// themselves before it refers them; 0 or less: it refers them now.
+    /// themselves before it answers with referrals; 0 or less: it answers now.
     Micros time_until_referral(Micros now) const;
     DirectoryReferral refer(const DaemonRecord& requester) const;
 
--- a/src/include/cypressford/prompt_placer.h
+++ b/src/include/cypressford/prompt_placer.h
@@ -50,8 +50,8 @@
 /// (highest random weight), so that a new leader finds most prompts where the previous
 /// leader placed them.  In a set of thousands it examines only the upstreams that hold
 /// parts of the prompt and some that rank first for it, so that the cost of a choice does
-/// not depend on the size of the set.  The records may be wrong (another leader, a
-/// restarted upstream); this costs time only.
+/// not depend on the size of the set.  Wrong records (another leader, a restarted
+/// upstream) only cost time.
 class PromptPlacer {
 public:
     explicit PromptPlacer(PolicySwitches switches = {})
--- a/src/include/cypressford/scheduler.h
+++ b/src/include/cypressford/scheduler.h
@@ -2,9 +2,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Scheduling of requests as a pure state machine: events and a time go in, actions come
-/// out.  No I/O, no clock and no source of randomness, so that the same code runs in a
-/// daemon, embedded in another program and under a fuzzer with virtual time.
+/// Scheduling of requests as a pure state machine: its driver passes in events with their
+/// time and executes the resulting actions.  No I/O, no clock and no source of randomness,
+/// so that the same code runs in a daemon, embedded in another program and under a fuzzer
+/// with virtual time.
 
 #pragma once
 
--- a/src/libcypressford/claim_ledger.cpp
+++ b/src/libcypressford/claim_ledger.cpp
@@ -35,7 +35,7 @@
         return;
     m_gap_end = first;
     m_next = first;
-    // Until a record gives a lower bound: all missed records were appended before now.
+    // All missed records were appended before now; a later record may tighten the bound.
     m_gap_floor = latest_key_before(now);
 }
 
--- a/src/libcypressford/claimer.cpp
+++ b/src/libcypressford/claimer.cpp
@@ -118,8 +118,8 @@
     if (event.offset < m_ledger.next())
         return;
     m_ledger.apply(event.offset, event.batch, m_time.wall);
-    // This daemon's own record is in the log: appends take effect, only their answers are
-    // lost.
+    // This daemon's own record is in the log, so appends take effect; only their answers
+    // were lost.
     if (event.batch.maker == m_maker) {
         m_failing_since.reset();
         m_retry_at = 0;
--- a/src/libcypressford/directory_fold.cpp
+++ b/src/libcypressford/directory_fold.cpp
@@ -22,8 +22,8 @@
 /// Order of a run of an upstream relative to the known run of its identity.
 enum class RunOrder : unsigned char { Older, Same, Newer };
 
-/// A run without a start time is older than any run with one: an upstream that reports its
-/// start always does, so the record was written by something else.
+/// A run without a start time counts as older than any run with one: an upstream that
+/// reports its start does so in every record, so the record is not its own.
 RunOrder
 order_of(std::int64_t born, std::int64_t known)
 {
--- a/src/libcypressford/rest_load_test.cpp
+++ b/src/libcypressford/rest_load_test.cpp
@@ -34,7 +34,8 @@
 
 /// Two upstreams with four slots each can serve 160 requests per second; 120 arrive.  For
 /// 0.3 s both reject all calls and request a backoff of 3 s.  Refused callers retry once,
-/// after the given time, but after a third of their remaining time at most.
+/// after the given retry-after time or a third of their remaining time, whichever is
+/// shorter.
 class BackoffLoad {
 public:
     BackoffLoad(double jitter, unsigned seed)
--- a/src/libcypressford/scheduler_routing.cpp
+++ b/src/libcypressford/scheduler_routing.cpp
@@ -287,8 +287,8 @@
     if (it == attempts.end() || it->second.response_started || it->second.cancelled)
         return;
     const Attempt& attempt = it->second;
-    // An upstream that has answered other calls since is responsive; this call is just
-    // long.
+    // An upstream that has answered other calls since is responsive; this call merely
+    // takes long.
     if (attempt.upstream->answered_at.load(std::memory_order_relaxed) > attempt.sent_at)
         return;
     report_unreachable(attempt);
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -240,8 +240,8 @@
 }
 
 /// Guards against refusing a request in the queue, 1.4 s after it was admitted, because
-/// calls to limited upstreams became free later than expected and the next one was due
-/// shortly after its target latency.  Only a new request is judged by its target latency; a
+/// send slots of limited upstreams came later than expected and the next one came shortly
+/// after its target latency.  Only a new request is judged by its target latency; a
 /// queued one keeps its send slot.
 TEST_CASE("a queued request keeps its send slot though the slot comes later than expected")
 {
--- a/src/libcypressford/topic_listing.cpp
+++ b/src/libcypressford/topic_listing.cpp
@@ -9,7 +9,8 @@
 
 /// Limits the memory for unpacking one part to about 1 MB.
 constexpr std::size_t kRecordsPerPart = 4096;
-/// More records than these, sent uncompressed after a listing, outweigh a new listing.
+/// More records than these, sent uncompressed after a listing, cost more than compressing a
+/// new listing.
 constexpr std::size_t kMaxFollowingRecords = 200;
 
 } // namespace
