--- a/src/libserve/directory/directory_store.h
+++ b/src/libserve/directory/directory_store.h
@@ -34,7 +34,8 @@
     boost::asio::awaitable<Result<void>> append(DirectoryTopic topic,
                                                 DirectoryRecord record);
 
-    /// Called with the log's generation when an answer reports another one than before.
+    /// Called with the log's generation when an answer reports a different generation than
+    /// the answers before.
     void on_generation(std::function<void(LogGeneration)> action)
     {
         m_on_generation = std::move(action);
--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -41,7 +41,7 @@
     /// Called after each change of the snapshot.
     void on_change(std::function<void()> action) { m_on_change = std::move(action); }
 
-    /// Called with the new records of daemons.
+    /// Called after each read of the daemons' records with those that are new; may be none.
     void on_daemons(std::function<void(std::vector<DaemonRecord>)> action)
     {
         m_on_daemons = std::move(action);
@@ -60,10 +60,10 @@
         m_on_suspects_lost = std::move(action);
     }
 
-    /// Reports that the daemon at that address did not answer this one.
+    /// Reports that the daemon at that address did not answer this daemon.
     void report_unreachable(const std::string& peers_address);
 
-    /// Announces to the other daemons at once that this one is stopping.
+    /// Announces to the other daemons at once that this daemon is stopping.
     void announce_stop();
 
     /// This daemon was suspended: topics whose data is too old by now are read again at
@@ -73,18 +73,20 @@
     boost::asio::awaitable<Result<void>> write(DirectoryTopic topic,
                                                DirectoryRecord record);
 
-    /// Applies, on this daemon and at once, this daemon's own record of requests under
-    /// which upstreams ended.  A later record under the same key extends the earlier one.
+    /// Applies, on this daemon and at once, this daemon's own record of requests that were
+    /// running when upstreams ended.  A later record under the same key extends the earlier
+    /// record.
     void apply_own_suspects(const std::string& key, const SuspectRecord& record);
-    /// The directory has acknowledged the record of that key.
+    /// Records that the directory has acknowledged the record of that key.
     void mark_suspects_written(const std::string& key);
     /// Records whose keys begin with `prefix` and that must be written again because the
     /// log lost them.
     std::vector<DirectoryRecord> lost_suspects(std::string_view prefix) const;
-    /// Lost records of all daemons; empty if another daemon is responsible for them.
+    /// Lost records of all daemons; empty unless this daemon is the root reader, which is
+    /// responsible for them.
     std::vector<DirectoryRecord> lost_suspects_of_all() const;
-    /// Up to `most` keys that this daemon must delete from the directory; empty if another
-    /// daemon is responsible.
+    /// Up to `most` keys that this daemon must delete from the directory; empty unless this
+    /// daemon is the root reader.
     std::vector<std::string> outdated_suspects(std::size_t most) const;
 
 private:
@@ -113,8 +115,8 @@
                                                             std::string after);
     boost::asio::awaitable<Result<void>> read(DirectoryTopic topic);
     FeedQuery reader_query() const;
-    /// The reader holds the first query until there are changes and answers a repeated one
-    /// at once.
+    /// The reader holds the first query until there are changes and answers a repeated
+    /// query at once.
     boost::asio::awaitable<Result<FeedAnswer>> query_reader(const DaemonRecord& reader,
                                                             bool is_first);
     /// Whether to repeat a query that the reader did not answer.
@@ -160,7 +162,7 @@
     std::map<DirectoryTopic, BootTimer> m_topic_timers; ///< one for the loop of each topic
     DirectoryView m_view;
     BootTimer m_publish_timer; ///< cancelled when this daemon's record may be lost
-    BootTimer m_reader_poll_timer; ///< between checks for a reader while there is none
+    BootTimer m_reader_poll_timer; ///< for checks for a reader while there is none
     DirectoryFeedServer m_feed;
     ResolvedBundlePtr m_applied; ///< the configuration in force
     std::uint64_t m_applied_revision = 0;
--- a/src/libserve/directory/evacuations.h
+++ b/src/libserve/directory/evacuations.h
@@ -19,7 +19,7 @@
     {
     }
 
-    /// Evacuates exactly these halls.  `snapshot`: the one about to be stored; its
+    /// Evacuates exactly these halls.  `snapshot`: the snapshot about to be stored; its
     /// upstreams in these halls receive no new requests from now on.
     void apply(std::vector<std::string> halls, const Snapshot& snapshot);
 
--- a/src/libserve/directory/reader_watch.h
+++ b/src/libserve/directory/reader_watch.h
@@ -15,11 +15,11 @@
 
 namespace cypressford {
 
-/// Watches one query to the reader of a hall.  While it applies a large change a reader
-/// answers no query; suspecting it then would send its followers to the directory all at
-/// once, for the same change.  Once an answer is late the reader is sent keepalive
-/// requests: at its address for peers, where another thread answers, and with an empty
-/// query to its feed over a new connection.  Lives on the control thread.
+/// Watches one query to the reader of a hall.  A reader answers no query while it applies a
+/// large change; if its followers suspected it then, all of them would read the same change
+/// from the directory at once.  Once an answer is late, keepalive requests are sent to the
+/// reader: to its address for peers, where another thread answers, and as an empty query to
+/// its feed over a new connection.  Lives on the control thread.
 class ReaderWatch : public std::enable_shared_from_this<ReaderWatch> {
 public:
     ReaderWatch(boost::asio::io_context& io, HttpClient& client, DaemonRecord reader);
@@ -28,8 +28,8 @@
     /// request, or if it answers over other connections only.
     const std::shared_ptr<CallHandle>& call() const { return m_call; }
 
-    /// Sends keepalive requests from `late_at` on, until the end; each must be answered
-    /// within the time limit.
+    /// Sends keepalive requests from `late_at` on, until the answer starts or the watch
+    /// ends; each must be answered within the timeout.
     boost::asio::awaitable<void> run(Micros late_at, Micros keepalive_timeout);
 
     /// The answer has started to arrive.
@@ -51,7 +51,7 @@
     void request_keepalives(Micros until);
     boost::asio::awaitable<void> query_peers_address(Micros until);
     boost::asio::awaitable<void> query_feed_address(Micros until);
-    /// Returns sooner when an answer arrives, or the watch is over.
+    /// Returns earlier if an answer arrives or the watch ends.
     boost::asio::awaitable<void> wait_until(Micros time);
 
     boost::asio::io_context& m_io;
@@ -64,7 +64,7 @@
     bool m_answered_keepalive = false;
     bool m_unresponsive = false;
     bool m_connection_dead = false;
-    bool m_peers_answers = false; ///< since keepalives were last requested
+    bool m_peers_answers = false; ///< since keepalive requests were last sent
     bool m_feed_answers = false; ///< the same
 };
 
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -40,8 +40,9 @@
     std::optional<HttpResponse> failure; ///< passed on unless a later attempt succeeds
     std::optional<HttpResponse> head; ///< of the stream, from its first upstream
     EventSplitter events;
-    Micros first_byte = 0; ///< of the last attempt, since it was sent
-    /// From the request's arrival to its first event; 0: none.
+    Micros first_byte
+        = 0; ///< from sending the last attempt to the first byte of its stream
+    /// From the request's arrival to the first event sent to the caller; 0: none.
     Micros time_to_first_event = 0;
     std::string unsent; ///< complete events not yet sent to the caller
 };
@@ -82,7 +83,7 @@
     {
         return spec.snapshot->bundle->pipelines[spec.pipeline];
     }
-    /// Id for the log: the caller's, if the caller gave one.
+    /// Id for the log: the caller's id of a relayed request, otherwise this worker's id.
     std::string log_id() const
     {
         return relay ? relay->call.attempt : std::to_string(spec.id);
@@ -117,7 +118,7 @@
     void close_after_answers() { m_server.close_after_answers(); }
     void stop_accepting() { m_server.stop_accepting(); }
     void close_idle() { m_server.close_idle(); }
-    /// Answers requests that run on no upstream; the process is about to end.
+    /// Answers requests that are not running on an upstream; the process is about to end.
     void answer_waiting_requests() { feed(ShutdownImminent {}); }
     /// Applies the limits that the configuration sets on callers.
     void apply_limits();
@@ -162,7 +163,9 @@
                                  const RequestContext& context) const;
 
     // suspicion.cpp: relayed requests suspected of ending upstreams.
-    /// Returns an error for a request that is quarantined, so that no upstream receives it.
+    /// Returns an error for a quarantined request, so that no upstream receives it.  If
+    /// this worker has recently recorded a complete answer to the request, it reports that
+    /// answer and returns no error.
     Result<void> check_suspicion(const HttpRequest& request, const CallerCall& call,
                                  const std::string& account);
     /// Records that a relayed request was answered completely.
--- a/src/libserve/hall/hall_service.h
+++ b/src/libserve/hall/hall_service.h
@@ -45,7 +45,8 @@
     /// This daemon's admissions for one account.
     struct AccountRate {
         double rate = 0; ///< requests per second
-        double pressure = 0; ///< part of the account's rate if all daemons admitted alike
+        /// Used part of the account's rate if all daemons admitted at the same rate.
+        double pressure = 0;
     };
 
     boost::asio::awaitable<void> gossip_loop();
--- a/src/libserve/hall/upstream_watch.h
+++ b/src/libserve/hall/upstream_watch.h
@@ -19,20 +19,20 @@
 namespace cypressford {
 
 /// The hall's view of its upstreams: polls the load of those that are assigned to
-/// this daemon, reads the node list if that is assigned to it, and stores the newest
-/// report on each, from any daemon.  Lives on the control thread.
+/// this daemon, reads the node list if that is assigned to this daemon, and stores the
+/// reports on each upstream, from any daemon.  Lives on the control thread.
 class UpstreamWatch {
 public:
-    /// The newest report on an upstream.
+    /// The state of the reports on an upstream.
     struct Observation {
         std::uint64_t id = 0; ///< hash of the address, as in messages of peers
-        LoadReport report;
-        Micros reported_at = 0; ///< when the report was made, by this daemon's clock
-        Micros changed_at = 0; ///< when a changed report was last received
+        LoadReport report; ///< the last one with a significant change
+        Micros reported_at = 0; ///< when the newest report was made, by this daemon's clock
+        Micros changed_at = 0; ///< when `report` was received
     };
     /// True if the task of this name is assigned to this daemon.
     using IsChosen = std::function<bool(const std::string& task, int count)>;
-    /// Called when an upstream is found to be leaving.
+    /// Called when a report shows for the first time that an upstream is leaving.
     using OnLeaving = std::function<void()>;
 
     UpstreamWatch(boost::asio::io_context& io, Kernel& kernel, PlatformClient& platform,
@@ -47,8 +47,9 @@
     /// leaving.
     void propagate_leaving_marks();
 
-    /// Reports to send to a peer: upstreams that are leaving, then the newest changes
-    /// since that time, at most `limit` in all.
+    /// Reports to send to a peer, in no particular order: on upstreams that are leaving,
+    /// and changes since that time.  Of more than `limit` reports, upstreams that are
+    /// leaving and then the newest changes are preferred.
     std::vector<const Observation*> recent_reports(Micros since, std::size_t limit) const;
 
 private:
--- a/src/libserve/kernel.h
+++ b/src/libserve/kernel.h
@@ -47,17 +47,17 @@
 
     UpstreamTable upstreams;
     RcuCell<Snapshot> snapshot;
-    RcuCell<SuspectView> suspects; ///< null until the first view is known
+    RcuCell<SuspectView> suspects; ///< null until the first view is stored
     std::atomic<bool> stopping {false};
     std::atomic<int> daemons_in_hall {1};
-    std::atomic<int> daemons {1}; ///< live daemons of all halls, as far as known
+    std::atomic<int> daemons {1}; ///< daemons of all halls that are assumed to be alive
     std::atomic<std::uint64_t> directory_calls {0}; ///< to the platform, since the start
     std::atomic<int> evacuated_halls {0};
     std::atomic<std::uint64_t> invalid_records {0}; ///< in the directory, since the start
     /// When a worker thread last detected that it had been suspended; the initial value
     /// lies far in the past.
     std::atomic<Micros> last_resumed_at {-3600 * kSecond};
-    /// Configuration and upstreams of the directory are known at least up to this time.
+    /// Changes of configuration and upstreams in the directory up to this time were read.
     std::atomic<Micros> directory_known_at {0};
     /// May be called from any thread; may be empty.
     std::function<void()> on_suspension_detected;
@@ -65,7 +65,7 @@
     /// thread; may be empty.
     std::function<void(std::string)> on_peer_unreachable;
     std::atomic<bool> holds_placement {false}; ///< this daemon places models for the hall
-    std::atomic<bool> log_out {false}; ///< the log takes no appends at present
+    std::atomic<bool> log_out {false}; ///< the log is unavailable for appends
 
     ClaimService* claims = nullptr;
     PieceService* pieces = nullptr; ///< null: no relayed pipelines
--- a/src/libserve/operator/metrics.h
+++ b/src/libserve/operator/metrics.h
@@ -16,7 +16,7 @@
 
 namespace cypressford {
 
-/// A histogram of durations (Boost.Histogram behind it).
+/// A histogram of durations, implemented with Boost.Histogram.
 class TimeHistogram {
 public:
     TimeHistogram();
@@ -41,7 +41,7 @@
     std::unique_ptr<Impl> m_impl;
 };
 
-/// Counters of one worker, or merged from several.
+/// Counters of one worker, or the merged counters of several workers.
 struct MetricsSnapshot {
     std::map<std::pair<std::string, std::string>, std::uint64_t>
         requests; ///< pipeline, outcome
--- a/src/libserve/peers/peer_link.h
+++ b/src/libserve/peers/peer_link.h
@@ -18,9 +18,9 @@
 
 namespace cypressford {
 
-/// Orders pieces from other daemons.  While a daemon has open orders of this one it is sent
-/// keepalive requests, since an order itself may legitimately take long; the orders of a
-/// daemon that does not answer them are cancelled.  Lives on one thread.
+/// Orders pieces from other daemons.  Since an order may legitimately take long, keepalive
+/// requests are sent to each daemon that has open orders of this daemon; if it does not
+/// answer them, its orders are cancelled.  Lives on one thread.
 class PeerLink {
 public:
     PeerLink(boost::asio::io_context& io, const Kernel& kernel)
@@ -40,7 +40,7 @@
     /// False: the daemon did not confirm the releases.
     boost::asio::awaitable<bool> send_releases(std::string address, Releases releases);
 
-    /// An error means that the daemon did not answer.
+    /// An error means that the daemon did not answer or that its answer is invalid.
     boost::asio::awaitable<Result<PlaceAnswer>> place(std::string address,
                                                       PlaceQuery query);
 
--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -18,8 +18,8 @@
 
 namespace cypressford {
 
-/// Tracks which daemons exist, and which of them answer.  A daemon that does not answer an
-/// order is suspected until it answers a keepalive request.  Lives on one thread.
+/// Tracks which daemons exist and which of them are responsive.  A daemon that does not
+/// answer an order is suspected until it answers a keepalive request.  Lives on one thread.
 class PeerWatch {
 public:
     PeerWatch(boost::asio::io_context& io, Kernel& kernel, PeerLink& link);
@@ -50,7 +50,7 @@
     PeerLink& m_link;
     DaemonTable m_daemons;
     std::set<std::string>
-        m_reported_unreachable; ///< unreachable daemons reported by another one
+        m_reported_unreachable; ///< unreachable daemons as reported by the hall's reader
     std::set<std::string>
         m_locally_suspected; ///< suspected by this daemon's own observation
     Micros m_leaders_checked_at = 0; ///< when leaders were last sent keepalive requests
--- a/src/libserve/pieces/piece_job.h
+++ b/src/libserve/pieces/piece_job.h
@@ -30,14 +30,14 @@
     std::string piece_key;
     int priority = 0;
     Micros deadline = 0;
-    Micros target_by = 0; ///< time by which the pieces must be made for a prompt answer
+    Micros target_by = 0; ///< when the pieces must be made to meet the target latency
     std::string near; ///< hall for the results; empty: where the prompt is cached
     /// Make the results in the hall of the upstream that has cached the prompt.
     bool follows_prompt = false;
     std::string reader_set; ///< the set whose leader chooses an upstream; empty: none
     PromptQuery prompt;
     HallLimit halls; ///< the only halls where pieces are made and the prompt is read
-    bool again = false; ///< the pieces were made before: each is a retry at its set
+    bool again = false; ///< the pieces were made before, so each counts as a retry
 };
 
 /// A result with the set that it belongs to.
@@ -74,7 +74,7 @@
     {
         return wanted.snapshot->bundle->pipelines[wanted.pipeline];
     }
-    /// The engines of which one reads the prompt.
+    /// The set of engines; one of its engines reads the prompt.
     const UpstreamSet& reader_set() const;
     const UpstreamSet& set_of(std::size_t stage) const
     {
@@ -94,7 +94,7 @@
     /// Takes over limit reports from the leader.
     void receive_limit_reports(const LimitReports& words, Micros now) const;
 
-    /// The order for a stage; its `due_left` is a point in time.
+    /// The order for a stage; its `due_left` is still a point in time, not a duration.
     PieceOrder order_for(std::size_t stage, std::string near) const;
 
     /// Bytes of the results by hall, from the result sizes that the pipeline specifies.
--- a/src/libserve/pieces/piece_maker.h
+++ b/src/libserve/pieces/piece_maker.h
@@ -23,7 +23,7 @@
 /// Makes pieces at the upstreams of the sets that this daemon leads.  Runs on one thread.
 class PieceMaker {
 public:
-    /// Cancels an order; its pieces that wait are removed from the queue.
+    /// Cancels an order; its waiting pieces are removed from the queue.
     class Ticket {
     public:
         void cancel()
@@ -44,11 +44,13 @@
 
     PieceMaker(boost::asio::io_context& io, Kernel& kernel, FreeResult free_result);
 
-    /// Completes when every piece is made or one has failed.
+    /// Completes when every piece is made, one has failed, the order's deadline has passed
+    /// or the ticket is cancelled.
     boost::asio::awaitable<PieceAnswer> make(PieceOrder order,
                                              std::shared_ptr<Ticket> ticket);
 
-    /// Frees the memory of released results at their upstreams.
+    /// Counts the memory of released results as free at their upstreams and sends the calls
+    /// that now fit.
     void on_releases(const Releases& releases);
 
     bool is_idle() const { return m_pieces.empty(); }
@@ -59,8 +61,8 @@
     struct Piece {
         std::shared_ptr<Order> order;
         std::size_t index = 0; ///< of the piece in its order
-        int calls = 0; ///< in which it was sent
-        bool in_flight = false; ///< a call with it is in progress
+        int calls = 0; ///< number of calls in which the piece was sent
+        bool in_flight = false; ///< a call with the piece is in progress
     };
     /// State of one upstream set.
     struct SetQueue {
@@ -86,7 +88,7 @@
                                           PieceCall call);
     std::vector<PieceItem> items_of(const PieceCall& call, Micros now) const;
     CallOptions options_of(const UpstreamSet& set, const PieceCall& call, Micros now) const;
-    /// Empty unless the call as a whole was answered.
+    /// Empty unless the call was answered with status 200 and a valid body.
     std::vector<PieceResult> results_of(const CallResult& result) const;
     std::int64_t free_bytes(const UpstreamSet& set, const PieceCall& call);
     void log_call(const UpstreamSet& set, const PieceCall& call, const SentCall& sent,
--- a/src/libserve/pieces/piece_service.h
+++ b/src/libserve/pieces/piece_service.h
@@ -41,7 +41,7 @@
     void cancel(std::uint64_t request);
     /// Releases results that have no remaining reader.
     void free_results(std::vector<PieceHandle> results);
-    /// The answer of a request started, or ended, at the set.
+    /// The answer of a request started at the set; record_ended(): the request ended.
     void on_answer_started(std::string set_name, std::string attempt);
     void record_ended(std::string set_name, std::string attempt);
     /// A request did not reach the upstream chosen for it.
--- a/src/libserve/pieces/release_outbox.h
+++ b/src/libserve/pieces/release_outbox.h
@@ -26,9 +26,9 @@
     /// `send` is called with the releases of one set, some milliseconds after the first.
     ReleaseOutbox(boost::asio::io_context& io, Send send);
 
-    /// A result without a remaining reader.
+    /// Adds a result that has no remaining reader.
     void add_result(const std::string& set_name, std::string handle);
-    /// The answer of a request started, or ended, at the set.
+    /// The answer of a request started at the set; add_ended(): the request ended.
     void add_started(const std::string& set_name, std::string attempt);
     void add_ended(const std::string& set_name, std::string attempt);
     /// A request did not reach the upstream chosen for it.
--- a/src/libserve/suspects/suspect_writer.h
+++ b/src/libserve/suspects/suspect_writer.h
@@ -22,15 +22,16 @@
 
     void start();
 
-    /// An upstream ended.  In force here at once, elsewhere once the record is written.
+    /// Reports the end of an upstream.  The report is in force at once on this daemon, and
+    /// on the others once they have read the record.
     void report_end(UpstreamEnd end);
-    /// A suspect was answered in full.
+    /// Reports that a suspect was answered in full.
     void report_answered(const RequestDigest& digest);
 
 private:
     void begin_writing();
     boost::asio::awaitable<void> write_all();
-    /// False if a call failed; the records behind it are not written.
+    /// False if a call failed; the records after the failed one are then not written.
     boost::asio::awaitable<bool> write_again(std::vector<DirectoryRecord> records);
     boost::asio::awaitable<void> tidy();
     boost::asio::awaitable<void> pause(Micros time);
--- a/src/libserve/upstream_says.h
+++ b/src/libserve/upstream_says.h
@@ -24,7 +24,7 @@
 void hear(UpstreamState& upstream, const UpstreamAnswer& answer,
           const AnswerOrigin& origin);
 
-/// Reports for other daemons on the limits that upstreams of the set have named.
+/// Reports for other daemons on the limits that upstreams of the set have reported.
 LimitReports limit_reports(const UpstreamSet& set, Micros now);
 
 /// Applies the limit reports of another daemon.
--- a/src/libutil/boot_clock.h
+++ b/src/libutil/boot_clock.h
@@ -4,8 +4,8 @@
 /// \file
 /// A clock that includes the time during which the node is suspended.
 ///
-/// std::chrono::steady_clock stops during suspension: after a minute of suspension a lease,
-/// a deadline or the age of a value that was read would look as fresh as before it.
+/// std::chrono::steady_clock stops during suspension: after a minute of suspension, the
+/// time left of a lease or deadline and the age of a value would be the same as before it.
 
 #pragma once
 
--- a/src/libutil/http_client.h
+++ b/src/libutil/http_client.h
@@ -20,7 +20,7 @@
 
 namespace cypressford {
 
-/// How far a call got.
+/// Outcome of a call.
 enum class CallStatus : unsigned char {
     Answered, ///< a complete answer was read
     NotSent, ///< no connection, so nothing was sent
--- a/src/libutil/http_server.h
+++ b/src/libutil/http_server.h
@@ -28,7 +28,8 @@
     std::chrono::milliseconds header_time {5000}; ///< from first to last byte of a header
     std::chrono::milliseconds body_time {10000};
     std::chrono::milliseconds idle_time {60000};
-    std::chrono::milliseconds write_time {10000}; ///< for a write to make progress
+    /// Without progress of a whole answer, and for each chunk of a stream.
+    std::chrono::milliseconds write_time {10000};
 };
 
 /// One request and the functions that answer it.  A handler calls exactly one of respond()
@@ -53,7 +54,7 @@
     virtual boost::asio::awaitable<bool> write(std::string_view text) = 0;
     virtual boost::asio::awaitable<bool> end() = 0;
 
-    /// Closes the connection without an answer.
+    /// Closes the connection after the handler has returned, without a complete answer.
     virtual void drop() = 0;
 };
 
@@ -75,7 +76,7 @@
 
     /// Makes every answer from now on close its connection.
     void close_after_answers();
-    /// Accepts the connections in the backlog, then no more.
+    /// Accepts the connections in the backlog and then closes the listening socket.
     void stop_accepting();
     /// Closes connections that are between requests.
     void close_idle();
--- a/src/libutil/socket_watchdog.h
+++ b/src/libutil/socket_watchdog.h
@@ -34,8 +34,8 @@
         disarm();
         m_state = std::make_shared<State>();
         m_timer.expires_at(at);
-        // The handler may already be queued when the watchdog is disarmed or destroyed,
-        // so it holds a state of its own.
+        // The handler may already be queued when the watchdog is disarmed or destroyed, so
+        // it shares ownership of the state.
         m_timer.async_wait(
             [state = m_state, &socket = m_socket, action = m_action](auto ec) {
                 if (ec || !state->armed)
