--- a/src/libserve/directory/directory_store.cpp
+++ b/src/libserve/directory/directory_store.cpp
@@ -20,7 +20,7 @@
 constexpr Micros kReadTimeout = 800 * kMillisecond;
 /// The same for a listing, which all daemons that have just started may request at once.
 constexpr Micros kListTimeout = 3 * kSecond;
-/// The same for a write: records are stored one at a time, and the directory rejects those
+/// The same for a write: the directory stores records one at a time and rejects a record
 /// that would wait for over 2 s.
 constexpr Micros kAppendTimeout = 2500 * kMillisecond;
 /// Answers of at least this size are logged: on a link of 10 Mbit/s they take 50 ms.
--- a/src/libserve/directory/directory_watch.cpp
+++ b/src/libserve/directory/directory_watch.cpp
@@ -25,14 +25,14 @@
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 /// Attempts to read one page before the listing is restarted.
 constexpr int kMaxPageAttempts = 4;
-/// Between checks whether this daemon's first record may be written.
+/// Interval of the checks whether this daemon's first record may be written.
 constexpr Micros kPublishPollInterval = 20 * kMillisecond;
-/// Between attempts to write this daemon's record; doubles after each failure.
+/// Delay between attempts to write this daemon's record; doubles after each failure.
 constexpr Micros kPublishRetryDelay = 1 * kSecond;
 constexpr int kMaxPublishDoublings = 3;
-/// Between log lines about the calls to the directory.
+/// Interval of the log lines about the calls to the directory.
 constexpr Micros kCallReportInterval = 10 * kSecond;
-/// Invalid records that are remembered so as not to be logged again; 300 bytes each.
+/// Invalid records that are stored, 300 bytes each, so that they are not logged again.
 constexpr std::size_t kMaxInvalidLogged = 256;
 
 } // namespace
@@ -123,7 +123,7 @@
 DirectoryWatch::publish_once()
 {
     const DaemonRecord record = own_record();
-    // GCC 12 destroys braced temporaries of a co_await twice, so they get names.
+    // GCC 12 destroys braced temporaries of a co_await twice, so this code uses variables.
     // A daemon that stops writes an empty value, which removes its record.
     const std::string value = m_kernel.stopping.load() ? std::string() : encode(record);
     DirectoryRecord entry {record.node, value};
@@ -234,7 +234,8 @@
         end = end.value_or(page->end);
         if (!page->more || page->records.empty())
             break;
-        // A store that does not page past this key would make the listing repeat forever.
+        // If the store returned this key as the last one again, the listing would never
+        // end.
         if (page->records.back().key == after)
             co_return fail(ErrorKind::Internal,
                            "directory listing returned the same last key twice");
@@ -246,7 +247,7 @@
 }
 
 /// Retries the page that failed rather than the whole listing: 10,003 upstreams are 21
-/// pages, and a directory that loses one of them is already busy.
+/// pages, and a directory that fails to send a page is already overloaded.
 asio::awaitable<Result<DirectoryPage>>
 DirectoryWatch::list_page(DirectoryTopic topic, std::string after)
 {
@@ -324,8 +325,8 @@
         log_invalid_record(record);
     if (change.news)
         m_feed.wake_held_queries();
-    // A read of the daemons' records without changes is passed on, too: daemons that wrote
-    // no record may have become unresponsive.
+    // A read of the daemons' records without changes is passed on, too, because a daemon
+    // that has written no record may have become unresponsive.
     const Micros read_at = m_view.of(DirectoryTopic::Daemons).as_of;
     if (m_on_daemons && read_at > m_daemons_passed_at)
         m_on_daemons(m_view.take_new_daemons());
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -26,21 +26,22 @@
 namespace {
 
 constexpr Micros kConnectTimeout = 250 * kMillisecond;
-/// Time for an answer beyond the time that the query is held, while a topic must be listed:
-/// a reader that has just started applies thousands of records before it answers.
+/// Time for an answer, beyond the time that the query is held, while a topic must be
+/// listed: a reader that has just started applies thousands of records before it answers.
 constexpr Micros kListingResponseTimeout = 3 * kSecond;
-/// Connecting to a peer that may give a referral, while other peers may give one, too.
+/// Timeout for connecting to a peer to request a referral, in the first round over all
+/// peers.
 constexpr Micros kFirstConnectTimeout = 400 * kMillisecond;
-/// Connecting once no peer has given a referral: a SYN that is dropped at a full accept
-/// queue, when hundreds of daemons connect at once, is sent again after a second.
+/// The same in later rounds: when hundreds of daemons connect at once, a SYN may be dropped
+/// at a full accept queue, and is sent again after a second.
 constexpr Micros kBusyConnectTimeout = 1500 * kMillisecond;
 /// Time that the queried daemon may hold a request for a referral to collect other joiners.
 constexpr Micros kReferralHoldTime = 700 * kMillisecond;
-/// Time for the answer to a keepalive request to another daemon.
+/// Timeout of a keepalive request to another daemon.
 constexpr Micros kKeepaliveTimeout = 200 * kMillisecond;
-/// Between keepalive requests to a daemon until it answers one.
+/// Interval of the keepalive requests to an unreachable daemon.
 constexpr Micros kPeerCheckInterval = 300 * kMillisecond;
-/// Between peers that gave no referral.
+/// Delay after a peer gave no referral, before the next peer is queried.
 constexpr Micros kReferralRetryDelay = 100 * kMillisecond;
 constexpr int kOk = 200;
 
@@ -105,8 +106,8 @@
     options.on_head = [watch](const HttpResponse&) { watch->on_answer_started(); };
     if (!must_list) {
         options.deadline_us = std::max(options.deadline_us, m_view.reader_deadline());
-        // Where the data would become stale first, an unresponsive reader must be detected
-        // sooner.
+        // If the data would become stale before a retry is answered, an unresponsive reader
+        // must be detected sooner.
         const bool has_time_to_retry
             = m_view.may_retry_reader(answer_due + kReaderResponseTimeout, now);
         const Micros keepalive_timeout
@@ -123,8 +124,9 @@
 
 // ------------------------------------------------- from a daemon of the settings
 
-/// Feeds have one port on all nodes.  Daemons of one hall query the same peer first, so
-/// that this peer receives the capacities of all of them and can select the strong ones.
+/// Feeds use the same port on all nodes.  All daemons of a hall query the same peer first,
+/// so that this peer receives the capacities of all of them and can select the strong
+/// daemons.
 std::vector<std::string>
 DirectoryWatch::peer_feed_addresses() const
 {
@@ -240,7 +242,7 @@
     for (;;) {
         // Checks end when the directory no longer lists the daemon.
         const bool is_known = m_view.daemons().knows(peers_address);
-        // GCC 12 ends this function wrongly if the call stands in a condition.
+        // GCC 12 compiles the end of this coroutine wrongly if the call is in a condition.
         bool answers = true;
         if (is_known)
             answers = co_await is_responsive(peers_address);
--- a/src/libserve/directory/directory_watch_reader.cpp
+++ b/src/libserve/directory/directory_watch_reader.cpp
@@ -24,11 +24,12 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Between checks for a reader while there is none.
+/// Interval of the checks for a reader while there is none, and delay before the next query
+/// to a reader whose data is overdue.
 constexpr Micros kReaderPollInterval = 200 * kMillisecond;
 /// A reader that failed to deliver updates is not queried for this time.
 constexpr Micros kReaderSuspicionTime = 3 * kSecond;
-/// The same while a topic must be listed: the reader may be about to start.
+/// The same while a topic must be listed: the reader may still be starting.
 constexpr Micros kReaderSuspicionTimeAtStart = 500 * kMillisecond;
 
 } // namespace
@@ -88,7 +89,8 @@
 }
 
 /// After a change of role or reader, all topic loops check their schedule at once: a daemon
-/// that has become a reader must not wait until its former reader would have been late.
+/// that has become a reader must not wait for the time at which updates from its former
+/// reader would have been overdue.
 void
 DirectoryWatch::update_source(const DirectorySource& from)
 {
--- a/src/libserve/directory/evacuations.cpp
+++ b/src/libserve/directory/evacuations.cpp
@@ -32,7 +32,8 @@
     return static_cast<std::size_t>(count);
 }
 
-/// Sets whose upstreams are all in evacuated halls: requests for them are refused.
+/// Names of sets whose upstreams are all in evacuated halls; requests for these sets are
+/// refused.
 std::vector<std::string>
 sets_left_empty(const Snapshot& snapshot)
 {
--- a/src/libserve/directory/reader_watch.cpp
+++ b/src/libserve/directory/reader_watch.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Between keepalive requests to a reader whose answer is late.
+/// Delay between keepalive requests to a reader whose answer is late.
 constexpr Micros kKeepaliveInterval = 200 * kMillisecond;
 
 } // namespace
@@ -58,7 +58,7 @@
         const Micros next_at = monotonic_us() + kKeepaliveInterval;
         while (!is_finished() && monotonic_us() < next_at)
             co_await wait_until(next_at);
-        // The feed is responsive and has answered a query that was sent after this one.
+        // The feed has answered a later query over another connection.
         m_connection_dead = !is_finished() && m_feed_answers;
         if (m_connection_dead)
             break;
--- a/src/libserve/hall/bundle_service.cpp
+++ b/src/libserve/hall/bundle_service.cpp
@@ -83,8 +83,9 @@
     }
 }
 
-/// The log drops the records behind the live state at the end of their retention time, so
-/// the state is appended anew at intervals, by whichever daemon is first.
+/// The log drops the records that make up the current state at the end of their retention
+/// time, so the state is appended again at intervals, by the daemon whose interval ends
+/// first.
 asio::awaitable<void>
 BundleService::snapshot_loop()
 {
--- a/src/libserve/hall/claim_service.cpp
+++ b/src/libserve/hall/claim_service.cpp
@@ -23,7 +23,7 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr Micros kReadWait = 5 * kSecond;
-/// Between timer events, with and without open claims.
+/// Interval of timer events, with and without open claims.
 constexpr std::chrono::milliseconds kBusyTick {5};
 constexpr std::chrono::milliseconds kIdleTick {100};
 constexpr std::chrono::milliseconds kReadRetry {200};
@@ -136,7 +136,7 @@
         handle(FirstRetained {page->first});
         Offset offset = page->from;
         for (const std::string& record : page->records) {
-            // All daemons treat an invalid record as one without entries.
+            // All daemons treat an invalid record as a record without entries.
             handle(ClaimRecordRead {offset, decode_claims(record).value_or(ClaimBatch {})});
             ++offset;
         }
--- a/src/libserve/hall/hall_service.cpp
+++ b/src/libserve/hall/hall_service.cpp
@@ -37,7 +37,7 @@
 constexpr Micros kReportRounds = 6;
 /// Reports in one message; bounds its size.
 constexpr std::size_t kMaxReports = 48;
-/// One exchange with a peer in this many lists members in full.
+/// Number of exchanges with a peer for each exchange that lists the members in full.
 constexpr int kExchangesPerFullMembers = 30;
 /// Weight of the newest interval in an account's rate.
 constexpr double kRateSmoothing = 0.3;
@@ -138,7 +138,7 @@
     BootTimer timer(m_io);
     for (;;) {
         gossip_once();
-        // Jitter, so that daemons that start together do not stay in step.
+        // Jitter, so that daemons that start together do not stay synchronized.
         const Micros interval = m_kernel.settings.gossip_interval;
         const auto jitter = static_cast<Micros>(m_random() % std::uint64_t(interval));
         timer.expires_after(std::chrono::microseconds(interval / 2 + jitter));
@@ -155,8 +155,8 @@
     m_bundles.set_reader(m_membership.is_chosen("bundles", kLogReaders, now));
     update_shares(now);
     m_watch.propagate_leaving_marks();
-    // Known members, and from time to time a peer from the settings, so that the
-    // parts of a partitioned hall find each other again.
+    // The targets are known members and, from time to time, a peer from the settings, so
+    // that the parts of a partitioned hall are joined again.
     std::vector<std::string> targets = m_membership.others(now);
     std::shuffle(targets.begin(), targets.end(), m_random);
     if (targets.size() > kGossipFanOut)
@@ -218,8 +218,8 @@
     return state;
 }
 
-/// Only accounts near their rate matter to other daemons, so those that use the
-/// largest part of it on this daemon are sent, up to a fixed number.
+/// Only accounts near their rate limit matter to other daemons, so the accounts that use
+/// the largest part of their rate on this daemon are sent, up to a fixed number.
 void
 HallService::add_accounts(proto::PeerState& state)
 {
--- a/src/libserve/hall/placement_service.cpp
+++ b/src/libserve/hall/placement_service.cpp
@@ -26,8 +26,8 @@
 constexpr std::chrono::milliseconds kReadRetry {300};
 constexpr Micros kReadWait = 5 * kSecond;
 constexpr Micros kCallTimeout = 2 * kSecond;
-/// A daemon that starts to read the log begins this many records before its end:
-/// the lease holder's renewals are all among them.
+/// A daemon that starts to read the log begins this many records before its end; these
+/// include the renewals of the current lease.
 constexpr Offset kLookBackRecords = 50;
 
 } // namespace
--- a/src/libserve/hall/upstream_watch.cpp
+++ b/src/libserve/hall/upstream_watch.cpp
@@ -25,7 +25,7 @@
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr Micros kLoadRequestTimeout = 500 * kMillisecond;
 constexpr std::chrono::milliseconds kListInterval {1000};
-/// Daemons of a hall that poll one upstream, and that read the node list.
+/// Number of daemons of a hall that poll one upstream, and that read the node list.
 constexpr int kPollersPerUpstream = 1;
 constexpr int kListReaders = 2;
 /// A load that changed by at most this part, or by at most one call, is not reported again.
@@ -83,8 +83,8 @@
     }
 }
 
-/// Polls the upstreams that are assigned to this daemon in turn, each at most once per
-/// interval and all of them at most at the configured rate.
+/// Polls the upstreams that are assigned to this daemon one after the other, each at most
+/// once per interval and all of them together at most at the configured rate.
 asio::awaitable<void>
 UpstreamWatch::poll_loop()
 {
--- a/src/libserve/peers/peer_link.cpp
+++ b/src/libserve/peers/peer_link.cpp
@@ -53,7 +53,7 @@
         handle->cancel();
 }
 
-/// Sends a message that the peer answers at once.
+/// Sends a message that the peer answers without delay, within kKeepaliveTimeout.
 asio::awaitable<CallResult>
 PeerLink::post(std::string address, const char* path, std::string body)
 {
--- a/src/libserve/peers/peer_watch.cpp
+++ b/src/libserve/peers/peer_watch.cpp
@@ -23,15 +23,15 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 /// A daemon that did not answer an order leads no set for this time, and until it answers a
-/// keepalive request.  Doubles with each unanswered request.  Short at first, since nodes
-/// that have all lost power start within 0.3 s of each other, and a daemon that starts
-/// early would exclude those that start late.
+/// keepalive request.  The time doubles with each unanswered request.  It is short at first
+/// because nodes that have all lost power start within 0.3 s of each other, and a daemon
+/// that starts early would exclude the daemons that start late.
 constexpr std::chrono::milliseconds kMinSuspectTime {200};
 constexpr std::chrono::milliseconds kMaxSuspectTime {1600};
 /// Minimum time between checks of the leaders.
 constexpr Micros kLeaderCheckInterval = 500 * kMillisecond;
-/// Of each set the leader and the next one are checked: a hall that fails takes both with
-/// it in 1 of 25 cases where there are five halls.
+/// The leader of each set and its successor are checked.  With five halls, the failure of a
+/// hall affects both of them in 1 of 25 cases.
 constexpr std::size_t kCheckedLeadersPerSet = 2;
 
 } // namespace
@@ -99,9 +99,9 @@
 }
 
 /// Daemons often fail together.  The leaders and their successors are checked at once, so
-/// that failures are not discovered one by one through orders.  Only these: when 295
-/// daemons lose one leader, checking all daemons is 86,700 calls, 0.6 s of a node of 0.12
-/// of a core.
+/// that failures are not detected one by one through orders.  Other daemons are not
+/// checked: when 295 daemons lose one leader, checking all daemons would take 86,700 calls,
+/// which is 0.6 s of a node with 0.12 of a core.
 void
 PeerWatch::check_leaders()
 {
@@ -121,7 +121,7 @@
 asio::awaitable<void>
 PeerWatch::check(std::string address)
 {
-    // GCC 12 ends this function wrongly if the call stands in the condition.
+    // GCC 12 compiles the end of this coroutine wrongly if the call is in the condition.
     const bool answers = co_await m_link.is_alive(address);
     if (!answers)
         suspect(address);
@@ -133,7 +133,7 @@
     BootTimer timer(m_io);
     std::chrono::milliseconds time = kMinSuspectTime;
     bool is_alive = false;
-    // Ends, too, when the directory no longer lists the daemon.
+    // The loop also ends when the directory no longer lists the daemon.
     while (!is_alive && m_daemons.is_suspected(address)) {
         timer.expires_after(time);
         co_await timer.async_wait(kToTuple);
