--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -51,8 +51,8 @@
 std::vector<std::string>
 PieceJob::unusable_engines(Micros now) const
 {
-    // 12 bytes each.  If the leader chooses an upstream beyond this limit, this daemon
-    // replaces it with its own choice.
+    // Each identity takes 12 bytes.  If the leader chooses an unusable upstream that was
+    // left out because of this limit, this daemon replaces it with its own choice.
     constexpr std::size_t most = 64;
     std::vector<std::string> identities;
     const UpstreamSet& set = reader_set();
@@ -123,7 +123,7 @@
     StageTransfer transfer;
     transfer.inputs = bytes_by_hall(plan.inputs_of(stage), dialect);
     transfer.pieces = plan.count(stage);
-    // If no prompt is cached, the upstream is chosen near the results.
+    // If no upstream has cached the prompt, its reader is chosen near the results.
     if (plan.is_last(stage) && wanted.follows_prompt) {
         transfer.reader = near;
         transfer.result_bytes
--- a/src/libserve/pieces/piece_maker.cpp
+++ b/src/libserve/pieces/piece_maker.cpp
@@ -30,15 +30,15 @@
 /// kTimeoutMargin, so that its pieces are made elsewhere sooner.
 constexpr Micros kTimeoutFactor = 2;
 constexpr Micros kTimeoutMargin = 200 * kMillisecond;
-/// No calls are sent for this time to an upstream that was full.
+/// Time for which no calls are sent to an upstream that was full.
 constexpr Micros kBackOffWhenFull = 40 * kMillisecond;
-/// An upstream that had no memory for a result is tried again when further results are
-/// likely to be released: a set's calls take 200 ms and more, and several of its upstreams
-/// finish theirs in this time.
+/// An upstream that had no memory for a result receives calls again after this time, when
+/// further results are likely to have been released: calls of a set take 200 ms and more,
+/// and several of its upstreams finish a call in this time.
 constexpr Micros kBackOffWhenNoMemory = 30 * kMillisecond;
 /// Interval of checks on pieces that wait for a certain upstream.
 constexpr Micros kRecheckInterval = 20 * kMillisecond;
-constexpr int kMaxCallsPerPiece = 4; ///< in which one piece is sent
+constexpr int kMaxCallsPerPiece = 4; ///< maximum number of calls in which a piece is sent
 constexpr int kOk = 200;
 constexpr std::int64_t kBytesPerKb = 1000;
 
@@ -76,7 +76,7 @@
     std::vector<PieceResult> results;
     std::vector<PieceId> ids;
     std::size_t left; ///< pieces without a result
-    bool finished = false; ///< no caller waits for it any more
+    bool finished = false; ///< no caller waits for the order any more
     BootTimer changed;
 };
 
@@ -115,8 +115,8 @@
         .first->second;
 }
 
-/// The leader of a set spends retries for all daemons; half of the limit is left for a
-/// second leader while daemons disagree on the leader.
+/// The leader of a set spends the retries of all daemons; half of the limit is left for a
+/// second leader, as daemons may temporarily disagree on the leader.
 RetryBudget
 PieceMaker::new_budget() const
 {
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -24,10 +24,10 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Maximum number of daemons that the order for one stage is sent to, one after the other.
+/// Maximum number of daemons to which the order for one stage is sent, one after the other.
 constexpr int kMaxLeadersTried = 3;
-/// A stage that may start later by less than this starts now: about the time of the
-/// messages for one order.
+/// A stage that could be held back for less than this time starts at once: about the time
+/// that the messages for one order take.
 constexpr Micros kMinHold = 20 * kMillisecond;
 /// Longer than any slack: no stage is held back.
 constexpr Micros kNoHold = std::numeric_limits<Micros>::max();
@@ -173,7 +173,8 @@
                 handles.push_back(result.handle);
                 continue;
             }
-            // Pieces that were cancelled because another one failed say less than that one.
+            // Pieces that were cancelled because another piece failed have the outcome
+            // Failed, so any other outcome is the cause.
             if (made || result.outcome != PieceOutcome::Failed)
                 why = to_string(result.outcome);
             made = false;
@@ -344,8 +345,8 @@
     });
 }
 
-/// The daemon that leads the set releases results at their holders, so that its records of
-/// free memory are right.  If it does not respond, this daemon releases them.
+/// The daemon that leads the set releases results at their holders, so that its estimates
+/// of free memory are correct.  If it does not respond, this daemon releases them.
 asio::awaitable<void>
 PieceService::send_releases(Releases releases)
 {
--- a/src/libserve/pieces/release_outbox.cpp
+++ b/src/libserve/pieces/release_outbox.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Time for which releases wait for others of the same set: limits the messages of one
-/// daemon to a leader to 200 a second.
+/// Time for which releases wait for others of the same set; limits the messages of one
+/// daemon to a leader to 200 per second.
 constexpr std::chrono::milliseconds kLinger {5};
 
 } // namespace
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -80,9 +80,9 @@
     return found;
 }
 
-/// A holder that is backed off accepts no releases either, and a holder with a rate limit
-/// counts them as calls.  No call is sent there meanwhile, so its memory is not needed
-/// before.
+/// A holder in backoff accepts no releases either, and a holder with a rate limit counts
+/// them as calls.  No calls are sent to the holder during that time, so its memory is not
+/// needed earlier.
 asio::awaitable<void>
 ResultHolders::wait_until_open(UpstreamPtr holder)
 {
--- a/src/libserve/settings.cpp
+++ b/src/libserve/settings.cpp
@@ -88,7 +88,8 @@
     reader.add(reader.child(key), std::string(key) + ": no '" + out + "' among:" + known);
 }
 
-/// Each kind of change has its bound; the same timing serves both, so the smaller counts.
+/// Each kind of change has its own limit; the same timing is used for both, so the smaller
+/// limit applies.
 void
 read_directory_bounds(YamlMapReader& reader, Settings& settings)
 {
@@ -136,7 +137,7 @@
     read_duration(reader, "write_ms", limits.write_time);
 }
 
-/// Reads the mechanisms to switch off, which allows measuring the effect of each.
+/// Reads the mechanisms to switch off; switching one off shows its effect.
 void
 read_switches(YamlMapReader& reader, PolicySwitches& switches)
 {
@@ -212,7 +213,7 @@
     read_range(reader, "orders_per_s", 0.01, 1000.0, settings.orders_per_s);
     if (lease.margin + 2 * lease.renew_interval > lease.duration)
         reader.add(reader.child("lease_ms"),
-                   "lease_ms must be above margin_ms + 2 * renew_ms");
+                   "lease_ms must be at least margin_ms + 2 * renew_ms");
 }
 
 void
@@ -233,8 +234,8 @@
 void
 read_keys(YamlMapReader& reader, Settings& settings)
 {
-    // A directory's store checks configurations itself, and relayed answers need no resume
-    // tokens of this daemon.
+    // The keys are optional with a directory: its store checks configurations itself, and
+    // relayed answers need no resume tokens of this daemon.
     const bool required = !settings.uses_directory;
     reader.read("operators", settings.operators, required);
     for (const std::string& key : settings.operators)
--- a/src/libserve/suspects/end_watch.cpp
+++ b/src/libserve/suspects/end_watch.cpp
@@ -26,10 +26,10 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Time to collect the broken runs of an upstream.  All connections of a process close when
-/// it ends: its runs at one daemon break off within 2 ms of each other.
+/// Time to collect the broken runs of an upstream.  When its process ends, all its
+/// connections close: its runs from one daemon break off within 2 ms of each other.
 constexpr std::chrono::milliseconds kCollectionTime {20};
-/// A reachable node of another hall answers in a few milliseconds.
+/// A reachable node, even of another hall, answers within a few milliseconds.
 constexpr Micros kProbeTimeout = 250 * kMillisecond;
 
 } // namespace
--- a/src/libserve/suspects/suspect_writer.cpp
+++ b/src/libserve/suspects/suspect_writer.cpp
@@ -23,14 +23,15 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Ends that are found within this time go into one record: one call for all engines that
-/// crash at the same moment.  A fortieth of the shortest time within which the other
-/// daemons must have the record.
+/// Ends that are detected within this time go into one record, so that engines that crash
+/// at the same moment need one call.  A fortieth of the shortest time within which the
+/// other daemons must have the record.
 constexpr Micros kGatherTime = 50 * kMillisecond;
-/// Delay between attempts to write, doubled up to the longest.
+/// Delay between attempts to write; doubles after each failure, up to the maximum.
 constexpr Micros kFirstRetryDelay = 200 * kMillisecond;
 constexpr Micros kMaxRetryDelay = 2 * kSecond;
-/// Interval of the search for outdated records, and the most that are deleted in one.
+/// Interval of the searches for outdated records, and the maximum number of records that
+/// are deleted after one search.
 constexpr Micros kCleanupInterval = 10 * kSecond;
 constexpr std::size_t kMaxDeletionsPerCleanup = 20;
 
@@ -93,7 +94,7 @@
     Micros delay = kFirstRetryDelay;
     co_await pause(kGatherTime);
     std::vector<DirectoryRecord> lost = m_directory.lost_suspects(m_prefix);
-    // Records that fail are tried again with the next report.
+    // Records that could not be written are retried with the next report.
     (void)co_await write_again(std::move(lost));
     while (!m_outbox.empty()) {
         const SuspectOutbox::Entry& first = m_outbox.seal_first();
@@ -128,8 +129,9 @@
     co_return true;
 }
 
-/// The root reader writes again the lost records of daemons that have ended, and deletes
-/// outdated records for all daemons, so that the directory keeps no more than daemons do.
+/// The root reader rewrites lost records, also those of daemons that have ended, and
+/// deletes outdated records for all daemons, so that the directory keeps no more records
+/// than the daemons do.
 asio::awaitable<void>
 SuspectWriter::tidy()
 {
