--- a/src/cypressfordd/cypressfordd.cpp
+++ b/src/cypressfordd/cypressfordd.cpp
@@ -47,7 +47,7 @@
 }
 
 /// Blocks SIGHUP and SIGTERM during its lifetime, in this thread and in threads started
-/// meanwhile: as long as no handlers are installed they would end the process.
+/// meanwhile: before the handlers are installed, these signals would end the process.
 class BlockedSignals {
 public:
     BlockedSignals()
@@ -65,11 +65,10 @@
     sigset_t m_signals {};
 };
 
-/// Ends the process without running destructors of static objects.  The logging
-/// library's thread pool, which is unused here, blocks all signals; on a platform that
-/// suspends and resumes threads by signals, waiting for that pool never ends and a
-/// stopped daemon would remain until it is killed.  Log lines are written at once,
-/// so nothing is left to flush.
+/// Ends the process without running destructors of static objects.  One of them waits for
+/// the logging library's unused thread pool, which blocks all signals: on a platform that
+/// suspends and resumes threads by signals, this wait would never end and the stopped
+/// daemon would remain until it is killed.  Log lines are written at once, so none is lost.
 [[noreturn]] void
 end_process(int code)
 {
--- a/src/libserve/daemon.cpp
+++ b/src/libserve/daemon.cpp
@@ -40,18 +40,18 @@
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::chrono::milliseconds kStopCheckInterval {20};
-/// One part in this many of the stop limit is reserved for ending the process.
+/// The stop limit divided by this number is reserved for ending the process.
 constexpr Micros kStopLimitDivisor = 20;
-/// Waiting requests are refused this long before a stop must end, so that the refusals
-/// still reach their callers.
+/// Waiting requests are refused this long before the end of the stop limit, so that the
+/// refusals still reach their callers.
 constexpr Micros kRefusalLeadTime = 400 * kMillisecond;
 /// Number of daemons in a hall that compete for the model placement lease.
 constexpr int kPlacementCandidates = 2;
 
 } // namespace
 
-/// Services built on the project's own log: claims, bundles, hall and placement.  Not
-/// needed with a directory.
+/// Services built on the project's own log: claims, bundles, hall and placement.  Not used
+/// with a directory.
 struct LogServices {
     LogServices(asio::io_context& io, Kernel& kernel)
         : platform(Registry<PlatformClient>::instance().make(kernel.settings.platform.kind))
--- a/src/libserve/entry/front_door.cpp
+++ b/src/libserve/entry/front_door.cpp
@@ -30,7 +30,7 @@
 constexpr std::string_view kPipelinesPrefix = "/v1/pipelines/";
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::size_t kMaxKeyChars = 128;
-/// Tokens that queue up for a slow caller are sent in one write, at most this many.
+/// Maximum number of queued tokens that are sent to a slow caller in one write.
 constexpr std::size_t kMaxTokensPerWrite = 64;
 
 /// Time budget of a request: the caller's header, limited by the pipeline's deadline.
@@ -214,7 +214,7 @@
 }
 
 /// A refusal reports "not run" for its own attempt only.  If the log shows that an earlier
-/// attempt claimed the key, that would mislead, so the report becomes "unknown".
+/// attempt claimed the key, "not run" would be misleading, so "unknown" is reported.
 asio::awaitable<Problem>
 Worker::settle_problem(ContextPtr context)
 {
@@ -267,8 +267,8 @@
     co_await exchange.end();
 }
 
-/// Sends the tokens that the caller does not have yet, each with a resume token for the
-/// stream behind it; returns false if the stream can't continue on this connection.
+/// Sends tokens that the caller does not have yet, each with a resume token for the rest of
+/// the stream; returns false if the stream can't continue on this connection.
 asio::awaitable<bool>
 Worker::write_tokens(HttpExchange& exchange, RequestContext& context)
 {
@@ -300,9 +300,9 @@
     co_return co_await exchange.write(text);
 }
 
-/// Continues a stream at the engine that runs it.  Returns false if that engine no longer
-/// has the stream; then the caller was sent nothing, or only text from which the stream
-/// can be continued.
+/// Continues a stream at the engine that runs it.  Returns false if that engine neither
+/// sent a token nor completed the stream, for example because it no longer has the stream;
+/// then nothing has been sent to the caller.
 asio::awaitable<bool>
 Worker::resume_at_engine(HttpExchange& exchange, ContextPtr context)
 {
--- a/src/libserve/entry/problem.cpp
+++ b/src/libserve/entry/problem.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Retry delay when nothing is known of when a retry may succeed.
+/// Retry delay if there is no estimate of when a retry may succeed.
 constexpr Micros kDefaultRetryAfter = kSecond;
-/// A request that ends upstreams will do so again until another request is answered
-/// completely, an operator acts or a new version of the service is deployed.
+/// A request that ends upstreams will do so again until the same request is answered
+/// completely elsewhere, an operator acts or a new version of the service is deployed.
 constexpr Micros kQuarantineRetryAfter = 60 * kSecond;
 
 Micros
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -27,7 +27,7 @@
 /// Interval between checks of timers and queues, with and without requests in progress.
 constexpr std::chrono::milliseconds kBusyTick {2};
 constexpr std::chrono::milliseconds kIdleTick {50};
-/// A gap that counts as a suspension: ten ticks of an idle thread.
+/// Shortest gap between ticks that counts as a suspension: ten ticks of an idle thread.
 constexpr Micros kMinSuspension = 500 * kMillisecond;
 /// Request ids of a worker start at its index shifted left by this many bits.
 constexpr int kIndexShift = 48;
@@ -153,7 +153,7 @@
         return;
     auto& calls = m_contexts.at(it->second)->calls;
     auto call = calls.find(action.attempt);
-    // Posted, since the call may be the code that is running now.
+    // Posted, because this function may have been called from the call's own coroutine.
     if (call != calls.end())
         asio::post(m_io, [handle = call->second] { handle->cancel(); });
 }
--- a/src/libserve/relay/attempt.cpp
+++ b/src/libserve/relay/attempt.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Calls to upstreams, and the status of an attempt by the end of its call.
+/// Calls to upstreams, and the status of an attempt according to the result of its call.
 
 #include "libserve/entry/worker.h"
 
@@ -28,7 +28,7 @@
     kServerError = 500
 };
 
-/// Status of an attempt by an answer other than 200.
+/// Status of an attempt whose answer has a status other than 200.
 AttemptStatus
 status_of(const HttpResponse& response)
 {
@@ -142,8 +142,8 @@
 {
     CallOptions options;
     options.handle = handle;
-    // A call that must not be repeated is never cut short: its answer is needed even after
-    // the caller's deadline.
+    // A call that must not be repeated continues after the caller's deadline, for at most
+    // detached_limit, because its answer is still needed.
     const Micros extra = send.may_repeat ? 0 : m_kernel.settings.scheduler.detached_limit;
     options.deadline_us = send.deadline + extra;
     options.fresh_connection = !send.may_repeat;
@@ -211,8 +211,8 @@
     co_return AttemptStatus::Ok;
 }
 
-/// Appends tokens behind those already received and skips repeated ones; false if a token
-/// is missing.
+/// Appends new tokens to the received tokens and skips repeated ones; false if a token is
+/// missing.
 bool
 Worker::take_tokens(RequestContext& context, std::vector<StreamToken> tokens)
 {
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -24,7 +24,8 @@
 namespace {
 
 constexpr auto kToTuple = asio::as_tuple(asio::use_awaitable);
-/// Interval of the checks whether a daemon that was suspended has read the changes since.
+/// Interval of the checks whether this daemon, after a suspension, has read the directory's
+/// changes.
 constexpr std::chrono::milliseconds kCatchUpInterval {5};
 /// A call with less time left is not sent.
 constexpr Micros kMinCallTime = 5 * kMillisecond;
@@ -67,8 +68,8 @@
     return response;
 }
 
-/// Id of the longest part of the prompt that several requests share: requests of a session
-/// or subject are sent to the same upstream by it.
+/// Id of the longest part of the prompt that several requests share, by which requests of a
+/// session or subject are routed to the same upstream; 0: no such part.
 std::uint64_t
 affinity_of(const CallerCall& call)
 {
@@ -307,15 +308,15 @@
     const std::shared_ptr<CallHandle> handle;
     const Micros sent_at = monotonic_us();
     UpstreamAnswer answer; ///< read from the head; empty before it arrives
-    bool stream_valid = true; ///< signed, not encoded, with rising event ids so far
+    bool stream_valid = true; ///< signed, not encoded, with increasing event ids so far
 
     Relay& relay() const { return *context->relay; }
     bool streams() const { return context->resolved().spec.stream; }
 };
 
 /// Checked on arrival and again before each send, since a request waits meanwhile for
-/// pieces, slots and the end of a back-off (without the second check, 8 to 9 more runs by 6
-/// waiting requests followed after all daemons had the quarantine; ending_requests).
+/// pieces, slots and the end of a backoff.  Without the second check, 6 waiting requests
+/// were run another 8 to 9 times after all daemons had the quarantine (ending_requests).
 bool
 Worker::is_quarantined(const RelayedCall& call)
 {
@@ -356,8 +357,8 @@
         return !is_quarantined(call)
             && begin_call(*call.send.upstream, call.send.count, monotonic_us());
     };
-    // The upstream's report of its own state is recorded whatever becomes of the call: the
-    // call may be cancelled, or break off after the head.
+    // The upstream's report of its own state is recorded even if the call is cancelled or
+    // breaks off after the head.
     options.on_answer = [this, &call](const HttpResponse& head, Micros connected) {
         call.answer = m_kernel.calls->read_answer(head);
         hear(*call.send.upstream, call.answer,
@@ -403,7 +404,7 @@
         return AttemptStatus::Leaving;
     if (answer.not_run && guarantees_not_run(response.status))
         return AttemptStatus::Overloaded;
-    // Nothing is taken from the answer to a cancelled call.
+    // The answer to a cancelled call is not passed on.
     if (call.handle->cancelled())
         return AttemptStatus::Lost;
     if (is_success(response.status)) {
@@ -417,8 +418,8 @@
         relay.answer = relayed_response(std::move(result.response));
         return AttemptStatus::Ok;
     }
-    // Such a status guarantees that nothing ran; without the upstream's own guarantee it
-    // must not reach the caller.
+    // To the caller, such a status guarantees that nothing ran.  It must not be passed on,
+    // because the upstream did not confirm that here.
     if (!guarantees_not_run(response.status))
         relay.failure = relayed_response(response);
     return response.status >= kServerError ? AttemptStatus::Failed
--- a/src/libserve/relay/suspicion.cpp
+++ b/src/libserve/relay/suspicion.cpp
@@ -2,8 +2,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Quarantine of relayed requests under which upstreams end, and the reports of broken runs
-/// and full answers.
+/// Quarantine of relayed requests that end upstreams, and the reports of broken runs and
+/// complete answers.
 
 #include "libserve/entry/worker.h"
 
@@ -82,7 +82,7 @@
         .kv("digest", to_text(digest))
         .kv("closed_there", closed_by_peer)
         .kv("leaving", leaving);
-    // An upstream that is leaving ends as planned, whatever runs there.
+    // The end of an upstream that is leaving is planned and not caused by a request.
     if (closed_by_peer && !leaving && m_kernel.ends)
         m_kernel.ends->record_broken_run({{send.upstream->identity, send.upstream->born},
                                           send.upstream->address,
--- a/src/libutil/event_log.cpp
+++ b/src/libutil/event_log.cpp
@@ -123,7 +123,8 @@
     return "info";
 }
 
-/// Control characters may occur in values from other processes, such as record keys.
+/// True for control characters, which may occur in values from other processes, such as
+/// record keys.
 bool
 is_control(char c)
 {
--- a/src/libutil/http_client.cpp
+++ b/src/libutil/http_client.cpp
@@ -286,8 +286,8 @@
             CallResult result = co_await attempt(*idle, request, options);
             const bool is_unresponsive = result.status == CallStatus::Lost
                 && !idle->got_bytes() && !options.handle->cancelled();
-            // The other idle connections to the address may be dead for the same reason:
-            // with 64 of them, each could cost a later call its whole deadline.
+            // The other idle connections to the address, up to 64, may be dead for the same
+            // reason, and each could use up the whole deadline of a later call.
             if (is_unresponsive)
                 m_idle.erase(address);
             const bool stale = options.resend_if_stale && result.status == CallStatus::Lost
