--- a/src/cypressford/commands.h
+++ b/src/cypressford/commands.h
@@ -33,9 +33,10 @@
 int keygen(const CommandOptions& options);
 int bundle_command(const std::vector<std::string>& arguments,
                    const CommandOptions& options);
-/// Lists, starts and ends evacuations of halls, through the product's own platform.
+/// Lists, starts and ends evacuations of halls, through the project's own log.
 int hall_command(const std::vector<std::string>& arguments, const CommandOptions& options);
-/// Lists, releases and adds requests under which upstreams ended, on the users' platform.
+/// Lists, releases and adds requests that were running when upstreams ended, through the
+/// directory of the users' platform.
 int quarantine_command(const std::vector<std::string>& arguments,
                        const CommandOptions& options);
 int timeline_command(const std::vector<std::string>& files, const CommandOptions& options);
--- a/src/cypressford/cypressford.cpp
+++ b/src/cypressford/cypressford.cpp
@@ -55,7 +55,7 @@
   cypressford version
 
 Exit codes: 0 done, 1 refused (for example another operator was first),
-2 wrong words or a file with faults, 3 platform or daemon out of reach.)";
+2 invalid arguments or a file with faults, 3 platform or daemon unreachable.)";
 
 int
 settings_check(const std::string& path)
--- a/src/cypressford/hall_commands.cpp
+++ b/src/cypressford/hall_commands.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// The versions of a hall's records must increase, so the log is read for the newest first.
+/// The versions of a hall's records must increase, so the newest version is first read from
+/// the log.
 int
 act_on_hall(BundleAction action, const std::string& hall, const CommandOptions& options)
 {
--- a/src/cypressford/log_reader.cpp
+++ b/src/cypressford/log_reader.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Key at the start of each event; other text may precede it on the line.
+/// First key of each event; other text may precede it on the line.
 constexpr std::string_view kFirstKey = "hlc=";
 
 struct SplitLine {
--- a/src/cypressford/losses.cpp
+++ b/src/cypressford/losses.cpp
@@ -181,7 +181,8 @@
     {
         if (trace.attempts > 1)
             return "late retry";
-        // A stage that took more than half of the time up to the first event is the reason.
+        // The slowest stage is the reason if it took more than half of the time to the
+        // first event.
         if (2 * trace.slowest_us > event.number("first_us") && trace.slowest_us > 0)
             return "late pieces " + trace.slowest_stage;
         return trace.engine_set.empty() ? "late upstream"
--- a/src/cypressford/operator_log.cpp
+++ b/src/cypressford/operator_log.cpp
@@ -96,7 +96,7 @@
 
 namespace {
 
-/// Returns the result of applying `record` as it stands in the log, or nullopt if the log
+/// Returns the result of applying `record` at its place in the log, or nullopt if the log
 /// can't be read or does not contain the record.
 std::optional<FoldResult>
 find_result(OperatorLog& log, const BundleRecord& record, const CommandOptions& options)
--- a/src/cypressford/operator_log.h
+++ b/src/cypressford/operator_log.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// Access of the operators' commands to the product's own log.
+/// Access of the operators' commands to the project's own log.
 
 #pragma once
 
@@ -54,7 +54,7 @@
 /// trusted.
 Result<BundleFold> read_fold(const CommandOptions& options);
 
-/// Print the error and return the exit code.
+/// Prints the error and returns kExitUnavailable; the next function returns kExitUsage.
 int report_unavailable(const Error& error);
 int report_bad_key(const Error& error);
 
@@ -62,8 +62,8 @@
 std::string read_key(const CommandOptions& options);
 
 /// Appends until the record is found in the log: an append whose answer was lost may have
-/// taken effect, and a second copy does no harm.  Prints the result and returns the exit
-/// code.
+/// taken effect, and a second copy of a record has no effect.  Prints the result and
+/// returns the exit code.
 int append_and_report(const BundleRecord& record, const CommandOptions& options);
 
 } // namespace cypressford
--- a/src/cypressford/quarantine_commands.cpp
+++ b/src/cypressford/quarantine_commands.cpp
@@ -39,7 +39,7 @@
     {
     }
 
-    /// All records of the topic; unreadable records are ignored, as daemons do.
+    /// All records of the topic; unreadable records are ignored, as in daemons.
     Result<SuspectTable> read_all()
     {
         SuspectTable table;
@@ -117,8 +117,8 @@
     return kExitOk;
 }
 
-/// Records a complete answer: the request is sent again, and three more ends of upstreams
-/// quarantine it again.
+/// A record of a complete answer to the request: daemons send the request to upstreams
+/// again, until three more ends of upstreams quarantine it again.
 SuspectRecord
 release_of(const RequestDigest& digest)
 {
@@ -127,7 +127,8 @@
     return record;
 }
 
-/// Records ends of upstreams that ran only this request, under names that no upstream has.
+/// A record of ends of upstreams that ran only this request, under identities that no
+/// upstream has.
 SuspectRecord
 quarantine_of(const RequestDigest& digest)
 {
@@ -150,7 +151,7 @@
     const auto done = SuspectLog(options.platform).append(record_of(digest_from(bytes)));
     if (!done)
         return report_unavailable(done.error());
-    std::cout << text << ": told\n";
+    std::cout << text << ": recorded\n";
     return kExitOk;
 }
 
--- a/src/cypressford/timeline.cpp
+++ b/src/cypressford/timeline.cpp
@@ -37,7 +37,7 @@
     return false;
 }
 
-/// Trace Event Format, which can be opened in browsers' trace viewers.
+/// Converts the events to the Trace Event Format, which trace viewers of browsers can open.
 json::object
 to_trace(const std::vector<LoggedEvent>& events)
 {
