--- a/src/cypressford/losses.h
+++ b/src/cypressford/losses.h
@@ -20,8 +20,8 @@
 /// Number of requests by outcome.
 struct RequestCounts {
     int asked = 0;
-    int in_time = 0; ///< answered whole, started within the pipeline's target latency
-    int late = 0; ///< answered whole, but started after the target latency
+    int in_time = 0; ///< answered completely, started within the pipeline's target latency
+    int late = 0; ///< answered completely, but started after the target latency
     int refused = 0; ///< not run
     int failed = 0; ///< may have run
     int left = 0; ///< the caller closed its connection
@@ -36,7 +36,7 @@
     std::int64_t bound = 0; ///< largest limit on the pieces of one call
     std::int64_t pieces = 0; ///< of all calls
     std::int64_t calls_with_waiting = 0; ///< calls that left other pieces in the queue
-    std::int64_t pieces_with_waiting = 0; ///< pieces of these calls
+    std::int64_t pieces_with_waiting = 0; ///< pieces of the calls_with_waiting
     std::int64_t broken_calls = 0; ///< calls without an answer for each piece
     std::int64_t input_gone = 0; ///< pieces that failed because an input was missing
     std::int64_t no_memory = 0; ///< pieces that failed for lack of memory
@@ -61,7 +61,7 @@
     std::size_t events = 0;
     LogFaults faults;
     std::set<std::string> nodes;
-    std::set<std::string> missing; ///< addresses of leaders whose log was not given
+    std::set<std::string> missing; ///< addresses of leaders whose logs were not read
     std::map<std::string, RequestCounts> by_pipeline;
     std::map<std::int64_t, RequestCounts> by_second; ///< second of the end, from first_ms
     std::map<std::string, SetLosses> sets;
--- a/src/cypressford/losses_test.cpp
+++ b/src/cypressford/losses_test.cpp
@@ -98,7 +98,7 @@
     CHECK(losses_as_json(losses).front() == '{');
 }
 
-TEST_CASE("every truncation of a log is read and reported without failure")
+TEST_CASE("a log truncated at any place is read and reported without failure")
 {
     for (std::size_t length = 0; length < kLog.size(); length += 7) {
         const Losses losses = losses_of(kLog.substr(0, length));
--- a/src/cypressford/operator_log.h
+++ b/src/cypressford/operator_log.h
@@ -54,8 +54,9 @@
 /// trusted.
 Result<BundleFold> read_fold(const CommandOptions& options);
 
-/// Prints the error and returns kExitUnavailable; the next function returns kExitUsage.
+/// Prints the error and returns kExitUnavailable.
 int report_unavailable(const Error& error);
+/// Prints the error and returns kExitUsage.
 int report_bad_key(const Error& error);
 
 /// The operator's private key; empty, with an error message, if it can't be read.
--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -41,7 +41,7 @@
     /// Called after each change of the snapshot.
     void on_change(std::function<void()> action) { m_on_change = std::move(action); }
 
-    /// Called after each read of the daemons' records with those that are new; may be none.
+    /// Called after each read of the daemons' records, with the new records, if any.
     void on_daemons(std::function<void(std::vector<DaemonRecord>)> action)
     {
         m_on_daemons = std::move(action);
--- a/src/libserve/hall/bundle_service.h
+++ b/src/libserve/hall/bundle_service.h
@@ -26,7 +26,7 @@
 
     const BundleFold& fold() const { return m_fold; }
 
-    /// Takes over a peer's state if it is newer.
+    /// Replaces this daemon's state by a peer's if the peer's state is newer.
     void adopt(const std::string& encoded_snapshot);
 
     /// Called when the log contained new records.
--- a/src/libserve/hall/peer_transport.cpp
+++ b/src/libserve/hall/peer_transport.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kExchangeTimeout {1000};
-/// Name in the certificates of all daemons: daemons are addressed by IP number,
-/// so the name identifies their role, not a host.
+/// Name in the certificates of all daemons.  It identifies their role instead of a host,
+/// because daemons are addressed by IP address.
 constexpr const char* kCertificateName = "cypressford";
 constexpr int kMaxMessageBytes = 8 * 1024 * 1024;
 constexpr int kMaxReconnectBackoffMs = 2000;
--- a/src/libserve/hall/upstream_watch.h
+++ b/src/libserve/hall/upstream_watch.h
@@ -18,7 +18,7 @@
 
 namespace cypressford {
 
-/// The hall's view of its upstreams: polls the load of those that are assigned to
+/// The hall's view of its upstreams: polls the load of the upstreams that are assigned to
 /// this daemon, reads the node list if that is assigned to this daemon, and stores the
 /// reports on each upstream, from any daemon.  Lives on the control thread.
 class UpstreamWatch {
--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -33,8 +33,8 @@
         return m_daemons.leader_of(set_name);
     }
 
-    /// Daemons that another daemon of the hall has found unreachable; replaces the previous
-    /// list.  They lead no set while they are on it.
+    /// Sets the list of daemons that the hall's reader reports as unreachable.  They lead
+    /// no set while they are on the list.
     void set_unreachable(std::set<std::string> addresses);
 
     void record_response(const std::string& address);
--- a/src/libserve/pieces/piece_service.h
+++ b/src/libserve/pieces/piece_service.h
@@ -41,10 +41,11 @@
     void cancel(std::uint64_t request);
     /// Releases results that have no remaining reader.
     void free_results(std::vector<PieceHandle> results);
-    /// The answer of a request started at the set; record_ended(): the request ended.
+    /// Reports to the set's leader that the answer of a request started at the set.
     void on_answer_started(std::string set_name, std::string attempt);
+    /// Reports to the set's leader that a request ended at the set.
     void record_ended(std::string set_name, std::string attempt);
-    /// A request did not reach the upstream chosen for it.
+    /// Reports to the set's leader that a request did not reach its selected upstream.
     void record_unreachable(std::string set_name, std::string attempt);
     void set_daemons(std::vector<DaemonRecord> records);
     /// Replaces the addresses of the daemons that the reader of this hall cannot reach.
--- a/src/libserve/pieces/release_outbox.h
+++ b/src/libserve/pieces/release_outbox.h
@@ -28,10 +28,11 @@
 
     /// Adds a result that has no remaining reader.
     void add_result(const std::string& set_name, std::string handle);
-    /// The answer of a request started at the set; add_ended(): the request ended.
+    /// Adds a report that the answer of a request started at the set.
     void add_started(const std::string& set_name, std::string attempt);
+    /// Adds a report that a request ended at the set.
     void add_ended(const std::string& set_name, std::string attempt);
-    /// A request did not reach the upstream chosen for it.
+    /// Adds a report that a request did not reach its selected upstream.
     void add_unreachable(const std::string& set_name, std::string attempt);
 
 private:
--- a/src/libserve/settings.cpp
+++ b/src/libserve/settings.cpp
@@ -34,7 +34,7 @@
         out = value;
 }
 
-/// Reads a duration that the file gives in milliseconds.
+/// Reads a duration, which is in milliseconds in the file.
 void
 read_ms(YamlMapReader& reader, const char* key, Micros& out)
 {
@@ -322,7 +322,8 @@
     if (settings.callers_address.empty())
         reader.add(reader.child("listen"), "settings need listen: callers");
     if (settings.platform.log.empty())
-        reader.add(reader.child("platform"), "settings need platform: log");
+        reader.add(reader.child("platform"),
+                   "settings need platform: log, or platform: store for a directory");
     settings.platform.hall = settings.hall;
     settings.scheduler.schedulers = settings.threads;
 }
--- a/src/libserve/settings.h
+++ b/src/libserve/settings.h
@@ -46,8 +46,8 @@
     double capacity = 1; ///< processor power of this node, relative to other nodes
     Micros max_change_delay = 2 * kSecond; ///< until a directory change is in force
     Micros directory_heartbeat = 1200 * kMillisecond; ///< between records of an upstream
-    double directory_writes = 400; ///< per second that the directory can take
-    /// How long an upstream is kept whose record disappeared during an outage.
+    double directory_writes = 400; ///< writes per second that the directory accepts
+    /// Time for which an upstream is kept after its record disappeared during an outage.
     Micros removal_grace_period = 2 * kSecond;
     std::vector<std::string> peers; ///< addresses of other daemons of the hall
     int threads = 2;
@@ -64,13 +64,13 @@
     Micros watch_interval = 500 * kMillisecond; ///< between load reports of an upstream
     double watch_rate = 5; ///< load reports requested per second, at most
     Micros gossip_interval = 1000 * kMillisecond; ///< between exchanges with a peer
-    Micros suspect_after = 6 * kSecond; ///< an unresponsive peer is not counted after it
+    Micros suspect_after = 6 * kSecond; ///< a peer without keepalive is not counted then
     LeaseOptions lease; ///< lease of the daemon that places models
     double orders_per_s = 2; ///< orders to load models; limits the load on the weight store
     Micros token_life = 600 * kSecond; ///< lifetime of resume tokens
-    /// Requests are still accepted this long after readiness is cleared.
+    /// Time for which requests are still accepted after readiness is cleared.
     Micros stop_grace_period = 2 * kSecond;
-    Micros stop_limit = 30 * kSecond; ///< a planned stop ends within it in any case
+    Micros stop_limit = 30 * kSecond; ///< longest time that a planned stop may take
     std::string log_file;
     LogLevel log_level = LogLevel::Info;
     int log_lines_per_s = kLogLinesPerSecond;
--- a/src/libserve/upstream_says.h
+++ b/src/libserve/upstream_says.h
@@ -20,7 +20,7 @@
     std::string_view call; ///< name of the call for the log
 };
 
-/// Applies to `upstream` what its answer reports about it.
+/// Applies the reports in an upstream's answer to its state.
 void hear(UpstreamState& upstream, const UpstreamAnswer& answer,
           const AnswerOrigin& origin);
 
--- a/src/libutil/crypto.h
+++ b/src/libutil/crypto.h
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// The part of OpenSSL that the project uses, behind plain functions.
+/// Functions for the parts of OpenSSL that the project uses, and a fast hash.
 
 #pragma once
 
