--- a/src/libserve/directory/directory_store.cpp
+++ b/src/libserve/directory/directory_store.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Time for the first byte of an answer, beyond the time that the query is held.
+/// Timeout for the first byte of an answer, beyond the time for which the query is held.
 constexpr Micros kReadTimeout = 800 * kMillisecond;
 /// The same for a listing, which all daemons that have just started may request at once.
 constexpr Micros kListTimeout = 3 * kSecond;
--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -90,8 +90,8 @@
     std::vector<std::string> outdated_suspects(std::size_t most) const;
 
 private:
-    /// Time for the first byte of a reader's answer, beyond the time that the reader may
-    /// hold the query.
+    /// Timeout for the first byte of a reader's answer, beyond the time for which the
+    /// reader may hold the query.
     static constexpr Micros kReaderResponseTimeout = 300 * kMillisecond;
 
     boost::asio::awaitable<void> publish_own();
--- a/src/libserve/directory/directory_watch_reader.cpp
+++ b/src/libserve/directory/directory_watch_reader.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /// \file
-/// How a DirectoryWatch follows the reader of its hall, and when it suspects it.
+/// How a DirectoryWatch follows the reader of its hall, and when it suspects the reader.
 
 #include "libserve/directory/directory_watch.h"
 
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -47,7 +47,7 @@
     std::string unsent; ///< complete events not yet sent to the caller
 };
 
-/// Data of a request that a worker processes; the scheduler does not see it.
+/// Data of a request for its worker only; the scheduler does not use these data.
 struct RequestContext {
     explicit RequestContext(boost::asio::io_context& io)
         : changed(io, BootTimer::time_point::max())
--- a/src/libserve/hall/peer_transport.cpp
+++ b/src/libserve/hall/peer_transport.cpp
@@ -56,7 +56,7 @@
     PeerTransport::Handler m_handler;
 };
 
-/// State of one call until it ends.
+/// State of a call in progress.
 struct Call {
     grpc::ClientContext context;
     proto::PeerState request;
--- a/src/libserve/hall/placement_service.h
+++ b/src/libserve/hall/placement_service.h
@@ -18,10 +18,9 @@
 
 namespace cypressford {
 
-/// Ensures that the engines of a hall have the models of the bundle in force.
-/// One daemon of the hall does so at a time, under a lease from the log, with the
-/// lease's fencing token in each order, at a rate that the weight store can sustain.
-/// Lives on the control thread.
+/// Ensures that the engines of a hall have the models of the bundle in force.  Only the
+/// daemon that holds a lease from the log sends orders, each with the lease's fencing
+/// token, at a rate that the weight store can sustain.  Lives on the control thread.
 class PlacementService {
 public:
     /// True if this daemon may hold the lease.
--- a/src/libserve/pieces/piece_maker.cpp
+++ b/src/libserve/pieces/piece_maker.cpp
@@ -42,7 +42,7 @@
 constexpr int kOk = 200;
 constexpr std::int64_t kBytesPerKb = 1000;
 
-/// Ids of the requests that a call is for, comma-separated; at most `most` of them.
+/// Ids of the requests whose pieces a call contains, comma-separated; at most `most` ids.
 std::string
 distinct_requests(const std::vector<PieceItem>& items)
 {
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -50,7 +50,7 @@
         at_holder.handles.push_back(handle);
     }
     for (auto& [holder, releases] : by_holder) {
-        // One call takes all releases that accumulate until its holder accepts calls.
+        // One call contains all releases that accumulate until its holder accepts calls.
         const auto [held, is_first] = m_held.try_emplace(holder, std::move(releases));
         if (is_first)
             asio::co_spawn(m_io, free_at(holder), asio::detached);
--- a/src/libserve/pieces/result_keepers.h
+++ b/src/libserve/pieces/result_keepers.h
@@ -25,8 +25,8 @@
 public:
     using OnFreed = std::function<void(const Releases&)>;
 
-    /// `on_freed` is called once a holder has answered, because a call that relies on the
-    /// freed memory must not arrive there before.
+    /// `on_freed` is called after a holder has answered: a call that relies on the freed
+    /// memory must not arrive at the holder earlier.
     ResultHolders(boost::asio::io_context& io, Kernel& kernel, OnFreed on_freed);
 
     /// Releases the results, with one call for each holder.
--- a/src/libutil/json_fields.h
+++ b/src/libutil/json_fields.h
@@ -16,7 +16,7 @@
 namespace cypressford {
 
 /// Which strings are accepted in JSON.  With Utf8, one string that is not valid UTF-8 makes
-/// the whole message unreadable, even if another process wrote that part of it.
+/// the whole message unreadable, even if another process wrote that part of the message.
 enum class JsonText : unsigned char { Utf8, Any };
 
 inline std::optional<boost::json::object>
