--- a/src/libserve/settings.h
+++ b/src/libserve/settings.h
@@ -64,7 +64,8 @@
     Micros watch_interval = 500 * kMillisecond; ///< between load reports of an upstream
     double watch_rate = 5; ///< load reports requested per second, at most
     Micros gossip_interval = 1000 * kMillisecond; ///< between exchanges with a peer
-    Micros suspect_after = 6 * kSecond; ///< a peer without keepalive is not counted then
+    /// Time without a keepalive after which a peer is not counted as serving.
+    Micros suspect_after = 6 * kSecond;
     LeaseOptions lease; ///< lease of the daemon that places models
     double orders_per_s = 2; ///< orders to load models; limits the load on the weight store
     Micros token_life = 600 * kSecond; ///< lifetime of resume tokens
