--- a/Makefile
+++ b/Makefile
@@ -24,7 +24,7 @@
 build: $(BUILD)/build.ninja
 	@cmake --build $(BUILD) -j $(JOBS)
 
-# The complete path on the product's own interface, then on the users' platform.
+# End-to-end demo on the product's own interface, then on the users' platform.
 demo: build
 	@python3 testsuite/demo/run.py $(BUILD)
 	@python3 platform/testing/run.py $(BUILD)
@@ -37,13 +37,13 @@
 	@cd $(BUILD) && ctest --output-on-failure -j 4 $(if $(KNOWN_RED),-E '^($(KNOWN_RED))$$')
 
 # The daemon of the previous landing, for tests with nodes of both builds side by side.
-# LANDING: another commit of landings.txt.
+# LANDING selects another commit of landings.txt.
 LANDING ?= $(shell grep -v '^\#' platform/testing/landings.txt | head -1)
 production: deps
 	@src/build-scripts/build-landing.sh $(LANDING) $(BUILD)/production/$(LANDING) $(JOBS)
 
-# Rolling upgrades from that landing to this build, with half of the nodes rolled back on the
-# way, under the soak's faults with fresh seeds.
+# Rolling upgrades from that landing to this build, with half of the nodes rolled back in
+# between, under the soak's faults with fresh seeds.
 upgrade: build production
 	@python3 platform/testing/upgrade.py $(BUILD) $(BUILD)/production/$(LANDING) \
 	  --seeds=$(shell expr $(MINUTES) \* 2)
--- a/src/bench/bench_leader.cpp
+++ b/src/bench/bench_leader.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Number of halls, all with as many upstreams.
+/// Number of halls, which have equal numbers of upstreams.
 constexpr int kHalls = 5;
 
 UpstreamSet
@@ -32,9 +32,9 @@
 
 /// Searches for the next call while all pieces wait for their own hall and other halls have
 /// free slots: the most frequent result of an order, a release or the end of a call under
-/// load. With 41 upstreams and 320 pieces on 2.1 GHz a search takes 4.5 us; it took 33 us
-/// without reading free slots only once for each upstream and halls only once for each
-/// group.
+/// load.  A search over 41 upstreams and 320 pieces at 2.1 GHz takes 4.5 us, since it reads
+/// free slots once for each upstream and halls once for each group; otherwise it takes 33
+/// us.
 static void
 BM_LookAtWaitingPieces(benchmark::State& state)
 {
--- a/testsuite/fuzz/directory_fuzz.cpp
+++ b/testsuite/fuzz/directory_fuzz.cpp
@@ -78,7 +78,7 @@
 }
 
 /// Records of upstreams' ends and of whole answers reach a daemon in any order, some twice;
-/// a daemon that has all of them quarantines the requests that the log does.  Requests that
+/// a daemon that has all of them quarantines the same requests as the log.  Requests that
 /// share no end are checked against a simple oracle, requests that ran together against a
 /// table that read the log in order.
 bool
@@ -86,7 +86,7 @@
 {
     const std::string parameters = case_parameters(cases, seed);
     setenv("RC_PARAMS", parameters.c_str(), 1);
-    return rc::check("what is quarantined is what the log says, in any order", [] {
+    return rc::check("daemons quarantine the same requests as the log, in any order", [] {
         const bool shares_upstreams = *rc::gen::arbitrary<bool>();
         constexpr std::size_t requests = 3;
         constexpr std::size_t upstreams = 4;
--- a/testsuite/fuzz/directory_world.h
+++ b/testsuite/fuzz/directory_world.h
@@ -468,8 +468,8 @@
         return false;
     }
 
-    /// A daemon that has read up to an offset has exactly the halls evacuated that the log
-    /// has there.
+    /// In a daemon that has read up to an offset, the evacuated halls are exactly those
+    /// that the records before the offset evacuate.
     void check_evacuations(Daemon& daemon)
     {
         const auto next = daemon.view->of(DirectoryTopic::Configuration).next;
--- a/testsuite/fuzz/relay_fuzz.cpp
+++ b/testsuite/fuzz/relay_fuzz.cpp
@@ -122,8 +122,7 @@
         return counts;
     }
 
-    /// A daemon's calls are not held to the limit until this time after it first received
-    /// the limit.
+    /// Delay from a daemon's first receipt of the limit until its calls are held to it.
     static constexpr Micros kReportingTime = 500 * kMillisecond;
     SelfReport report;
     Micros limit_known_since = 0; ///< 0: no limit received yet
--- a/testsuite/fuzz/relay_world.cpp
+++ b/testsuite/fuzz/relay_world.cpp
@@ -514,7 +514,7 @@
 RelayWorld::act(const ReleaseInputs& action)
 {
     RequestModel& model = m_requests.at(action.request);
-    // No attempt that has not yet read its inputs is under way.
+    // All attempts that are under way have read their inputs.
     for (const auto& [id, attempt] : m_attempts)
         RC_ASSERT(attempt.request != action.request || attempt.has_read
                   || attempt.cancelled);
@@ -524,7 +524,8 @@
 void
 RelayWorld::act(const ReportUnreachable& action)
 {
-    // Nothing may be reported of a request that an upstream has and the scheduler forgot.
+    // A request that the scheduler has dropped while an upstream still has it is not
+    // reported as unreachable.
     RC_ASSERT(!m_requests.at(action.request).forgotten);
 }
 
--- a/testsuite/fuzz/world_oracle.cpp
+++ b/testsuite/fuzz/world_oracle.cpp
@@ -85,7 +85,7 @@
         for (const auto& [key, expect_free] : is_free) {
             const ClaimLedger& ledger = daemon->claimer->ledger();
             const auto* state = ledger.find(key);
-            // The record that released the key may be among the trimmed ones.
+            // The record that released the key may have been trimmed.
             const bool readable = state && state->key_time > ledger.floor();
             if (expect_free && readable && state->claimed)
                 report_violation("key of a request that never ran was not released: "
