--- a/testsuite/fuzz/directory_log.h
+++ b/testsuite/fuzz/directory_log.h
@@ -17,8 +17,8 @@
 
 constexpr std::size_t kDaemons = 3;
 constexpr std::size_t kUpstreams = 5;
-constexpr std::size_t kHalls = 2; ///< that operators evacuate
-constexpr std::size_t kTopics = 2; ///< configuration and upstreams
+constexpr std::size_t kHalls = 2; ///< number of halls that operators evacuate
+constexpr std::size_t kTopics = 2; ///< number of topics: configuration and upstreams
 
 /// Makes values larger than the limit for uncompressed values between daemons, so that they
 /// are sent compressed.
--- a/testsuite/fuzz/directory_steps.h
+++ b/testsuite/fuzz/directory_steps.h
@@ -32,7 +32,7 @@
     Advance
 };
 
-/// How often each kind is drawn, relative to the others.
+/// Relative frequency with which each kind is drawn.
 constexpr std::array<std::pair<StepKind, std::size_t>, 16> kWeights {{
     {StepKind::Keepalive, 16},
     {StepKind::Drain, 1},
@@ -61,7 +61,8 @@
     return sum;
 }
 
-/// The kind at a position in the sequence that holds each kind as often as its weight.
+/// The kind at a position of a sequence in which each kind occurs as many times as its
+/// weight.
 inline StepKind
 kind_at(std::size_t position)
 {
--- a/testsuite/fuzz/directory_world.h
+++ b/testsuite/fuzz/directory_world.h
@@ -99,8 +99,8 @@
 private:
     struct Daemon {
         std::unique_ptr<DirectoryView> view;
-        std::uint64_t version = 0; ///< highest that was in force
-        std::map<std::string, std::uint64_t> starts; ///< highest that were in force
+        std::uint64_t version = 0; ///< highest version that was in force
+        std::map<std::string, std::uint64_t> starts; ///< latest start in force, by upstream
         std::set<std::string> reported_ended; ///< by another daemon; cleared by a listing
         std::map<std::string, std::uint64_t> received_ranks; ///< highest rank by key
     };
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Loses the last records of the topic, up to 60.
+    /// Drops the last `lost` records of the topic; steps draw `lost` below 60.
     void drop_last(DirectoryTopic topic, std::size_t lost)
     {
         Topic& log = log_of(topic);
--- a/testsuite/fuzz/relay_world.h
+++ b/testsuite/fuzz/relay_world.h
@@ -22,7 +22,7 @@
 
 /// A result at the upstream that made it.
 struct Piece {
-    bool lost = false; ///< its holder died
+    bool lost = false; ///< its holder has ended
     bool released = false; ///< by the daemon
 };
 
@@ -41,7 +41,7 @@
     std::size_t pipeline = 0;
     std::vector<int> counts;
     HallLimit halls;
-    std::vector<std::string> inputs; ///< results that an attempt is sent with
+    std::vector<std::string> inputs; ///< results that are sent with an attempt
     std::optional<Preparation> preparation;
     int preparations = 0;
     int sent = 0;
@@ -67,7 +67,7 @@
     bool listed = true;
     bool leaves = false;
     Micros backoff_until = 0;
-    double limit_per_s = 0; ///< that it reports; 0: none
+    double limit_per_s = 0; ///< limit that the upstream reports; 0: none
     Micros limit_received_at = 0; ///< time of the last report of a limit; 0: none
     Micros limit_since = 0; ///< start of the present limit
     int calls_since_limit = 0; ///< calls that arrived under the present limit
@@ -96,7 +96,8 @@
     RepeatLast,
 };
 
-/// The step at that position of the sequence that holds each step as often as its weight.
+/// The step at a position of a sequence in which each step occurs as many times as its
+/// weight.
 Step step_at(std::size_t position);
 std::size_t sum_of_weights();
 
--- a/testsuite/wire/check.py
+++ b/testsuite/wire/check.py
@@ -4,7 +4,7 @@
 
 """Formats shared between builds may only be extended.
 
-    check.py            each line of landed/*.txt still holds; known changes are detected
+    check.py            each line of landed/*.txt is still present; known changes are detected
     check.py --list     the present lines, for landed/COMMIT.txt of a landing
 
 A line is a field of a message with its number and type, a value of an enumeration that crosses
