--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -18,8 +18,8 @@
 
 namespace cypressford {
 
-/// Tracks which daemons exist, and which of them answer.  A daemon that does not answer an
-/// order is suspected until it answers a keepalive request.  Lives on one thread.
+/// Tracks which daemons exist and which of them are responsive.  A daemon that does not
+/// answer an order is suspected until it answers a keepalive request.  Lives on one thread.
 class PeerWatch {
 public:
     PeerWatch(boost::asio::io_context& io, Kernel& kernel, PeerLink& link);
@@ -33,8 +33,8 @@
         return m_daemons.leader_of(set_name);
     }
 
-    /// Daemons that another daemon of the hall has found unreachable; replaces the previous
-    /// list.  They lead no set while they are on it.
+    /// Sets the list of daemons that the hall's reader reports as unreachable.  They lead
+    /// no set while they are on the list.
     void set_unreachable(std::set<std::string> addresses);
 
     void record_response(const std::string& address);
@@ -50,7 +50,7 @@
     PeerLink& m_link;
     DaemonTable m_daemons;
     std::set<std::string>
-        m_reported_unreachable; ///< unreachable daemons reported by another one
+        m_reported_unreachable; ///< unreachable daemons as reported by the hall's reader
     std::set<std::string>
         m_locally_suspected; ///< suspected by this daemon's own observation
     Micros m_leaders_checked_at = 0; ///< when leaders were last sent keepalive requests
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -50,7 +50,7 @@
         at_holder.handles.push_back(handle);
     }
     for (auto& [holder, releases] : by_holder) {
-        // One call takes all releases that accumulate until its holder accepts calls.
+        // One call contains all releases that accumulate until its holder accepts calls.
         const auto [held, is_first] = m_held.try_emplace(holder, std::move(releases));
         if (is_first)
             asio::co_spawn(m_io, free_at(holder), asio::detached);
@@ -80,9 +80,9 @@
     return found;
 }
 
-/// A holder that is backed off accepts no releases either, and a holder with a rate limit
-/// counts them as calls.  No call is sent there meanwhile, so its memory is not needed
-/// before.
+/// A holder in backoff accepts no releases either, and a holder with a rate limit counts
+/// them as calls.  No calls are sent to the holder during that time, so its memory is not
+/// needed earlier.
 asio::awaitable<void>
 ResultHolders::wait_until_open(UpstreamPtr holder)
 {
--- a/src/libserve/upstream_says.h
+++ b/src/libserve/upstream_says.h
@@ -20,11 +20,11 @@
     std::string_view call; ///< name of the call for the log
 };
 
-/// Applies to `upstream` what its answer reports about it.
+/// Applies the reports in an upstream's answer to its state.
 void hear(UpstreamState& upstream, const UpstreamAnswer& answer,
           const AnswerOrigin& origin);
 
-/// Reports for other daemons on the limits that upstreams of the set have named.
+/// Reports for other daemons on the limits that upstreams of the set have reported.
 LimitReports limit_reports(const UpstreamSet& set, Micros now);
 
 /// Applies the limit reports of another daemon.
