--- a/src/adaptive.router/adaptive.cpp
+++ b/src/adaptive.router/adaptive.cpp
@@ -28,7 +28,7 @@
 double
 load(const Candidate& c)
 {
-    return c.in_flight + c.others;
+    return c.in_flight + c.others_in_flight;
 }
 
 /// Expected time until a call sent now is answered, up to a common factor.
--- a/src/bench/bench_control.cpp
+++ b/src/bench/bench_control.cpp
@@ -154,9 +154,10 @@
     for (auto _ : state) {
         now += kSecond;
         ++beat;
-        view.beat(now);
+        view.advance_heartbeat(now);
         for (int i = 0; i < members; ++i)
-            view.hear({"10.0.0." + std::to_string(i), "n", 1, 1, beat, false}, now);
+            view.on_member_info({"10.0.0." + std::to_string(i), "n", 1, 1, beat, false},
+                                now);
         int chosen = 0;
         for (int i = 0; i < 285; ++i)
             chosen += view.is_chosen("upstream" + std::to_string(i), 1, now);
--- a/src/bench/bench_directory.cpp
+++ b/src/bench/bench_directory.cpp
@@ -163,10 +163,10 @@
 {
     const auto records = make_records(static_cast<int>(state.range(0)));
     const TextDialect dialect;
-    const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(4 * kSecond, 1200 * kMillisecond);
     measure_memory(state, [&] {
-        auto view = std::make_unique<DirectoryView>(dialect, pace, kRemovalGracePeriod, "n",
-                                                    "hall-0", 400, 0);
+        auto view = std::make_unique<DirectoryView>(dialect, timing, kRemovalGracePeriod,
+                                                    "n", "hall-0", 400, 0);
         view->begin_listing(DirectoryTopic::Upstreams, 0);
         view->apply_listed(DirectoryTopic::Upstreams, records, 0);
         view->end_listing(DirectoryTopic::Upstreams, state.range(0), 0, 0);
@@ -181,8 +181,8 @@
 {
     const auto records = make_records(static_cast<int>(state.range(0)));
     const TextDialect dialect;
-    const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
-    DirectoryView view(dialect, pace, kRemovalGracePeriod, "n", "hall-0", 400, 0);
+    const DirectoryTiming timing(4 * kSecond, 1200 * kMillisecond);
+    DirectoryView view(dialect, timing, kRemovalGracePeriod, "n", "hall-0", 400, 0);
     view.begin_listing(DirectoryTopic::Upstreams, 0);
     view.apply_listed(DirectoryTopic::Upstreams, records, 0);
     view.end_listing(DirectoryTopic::Upstreams, state.range(0), 0, 0);
--- a/src/include/cypressford/call_dialect.h
+++ b/src/include/cypressford/call_dialect.h
@@ -59,8 +59,8 @@
     bool input_gone = false; ///< not run, because a result that it reads no longer exists
     bool is_encoded = false; ///< has a content encoding: not the upstream's own bytes
     Micros cold_left = 0; ///< how much longer the upstream is cold
-    bool leaves = false; ///< the upstream reports that it is leaving
-    Micros rest = 0; ///< backoff requested with a refusal of the call; 0: none
+    bool is_leaving = false; ///< the upstream reports that it is leaving
+    Micros backoff = 0; ///< backoff requested with a refusal of the call; 0: none
     bool backoff_unreadable = false; ///< a backoff is given, but can't be parsed
     /// Requests a second that the upstream accepts from all daemons together; empty: no
     /// limit given.
--- a/src/include/cypressford/cold.h
+++ b/src/include/cypressford/cold.h
@@ -54,7 +54,7 @@
     void set_spec(const ColdSpec& spec);
 
     /// The upstream is cold at least until `until`.
-    void note(Micros until);
+    void mark_cold_until(Micros until);
     /// The upstream may have started just now, so a cold period is assumed.
     void assume_cold(Micros now);
 
--- a/src/include/cypressford/daemon_table.h
+++ b/src/include/cypressford/daemon_table.h
@@ -41,7 +41,8 @@
 /// Names the daemons that a daemon without records of any other daemon should query.
 struct DirectoryReferral {
     DirectoryRole role = DirectoryRole::Fresh; ///< of the daemon that is referred
-    std::vector<DaemonRecord> ask; ///< in order of preference: query the first that answers
+    std::vector<DaemonRecord>
+        daemons; ///< in order of preference: query the first that answers
     int alive = 0; ///< daemons in the fleet, by the referring daemon's records
 };
 
--- a/src/include/cypressford/directory.h
+++ b/src/include/cypressford/directory.h
@@ -53,7 +53,7 @@
 struct UpstreamRecord {
     UpstreamMember member;
     std::uint64_t sequence = 0; ///< number of the record within one run
-    Micros cold_left = 0; ///< remaining cold time when the record was written
+    Micros remaining_cold_time = 0; ///< remaining cold time when the record was written
 };
 
 /// A daemon's own record.
--- a/src/include/cypressford/directory_feed.h
+++ b/src/include/cypressford/directory_feed.h
@@ -74,10 +74,10 @@
 };
 
 /// Times derived from the bound within which a change must be in force.
-struct DirectoryPace {
+struct DirectoryTiming {
     /// `bound`: a change is in force within this time; `heartbeat`: interval between two
     /// records of one upstream.
-    DirectoryPace(Micros bound, Micros heartbeat);
+    DirectoryTiming(Micros bound, Micros heartbeat);
 
     Micros bound;
     /// After this time without contact, records may have expired because of an outage of
@@ -102,19 +102,20 @@
         std::uint64_t base = 0; ///< hash of the newest known value; 0: none
         /// If the reader does not have all records from there on, a listing of the whole
         /// topic is accepted.
-        bool takes_listing = false;
+        bool accepts_listing = false;
     };
     std::vector<Cursor> cursors;
     Micros wait = 0; ///< longest time to hold the query until there are changes
-    bool takes_packed = false; ///< false from daemons of an earlier version
+    bool accepts_packed = false; ///< false from daemons of an earlier version
     /// Also requests records that changed nothing: a daemon that may become a reader of the
     /// directory must have an upstream's newest sequence, or else it mistakes an older
     /// record that was written late for the return of that upstream.
-    bool wants_signs = false;
+    bool wants_keepalives = false;
     /// Record of a requester that requests a referral, as it has no daemon to query.
     std::optional<DaemonRecord> joiner;
-    std::vector<std::string> lost; ///< addresses of daemons unreachable for the requester
-    bool takes_unreachable = false; ///< false from daemons of an earlier version
+    std::vector<std::string>
+        unreachable; ///< addresses of daemons unreachable for the requester
+    bool accepts_unreachable_list = false; ///< false from daemons of an earlier version
     std::uint64_t unreachable_revision = 0; ///< of the list that the requester has
     LogGeneration generation = 0; ///< of the log that the cursors refer to
 };
--- a/src/include/cypressford/directory_view.h
+++ b/src/include/cypressford/directory_view.h
@@ -34,7 +34,8 @@
     Micros as_of = 0;
     Micros requested_at = 0; ///< last request to the directory itself
     bool is_pending = false; ///< the reader has not listed the topic yet, either
-    bool overdue = false; ///< the reader of the hall lacks records that are missing here
+    bool reader_lacks_records
+        = false; ///< the reader of the hall lacks records that are missing here
     bool just_changed = false; ///< the directory's last answer contained a change
     int misses = 0; ///< consecutive misses of the hall's reader, see record_reader_miss()
     int failures = 0; ///< consecutive failures of the directory itself
@@ -47,13 +48,13 @@
 struct InvalidRecord {
     DirectoryTopic topic = DirectoryTopic::Configuration;
     std::string key;
-    std::string why;
+    std::string reason;
 };
 
 /// Result of applying a batch of records.
 struct DirectoryChange {
-    bool news = false; ///< other daemons must be notified at once
-    std::vector<InvalidRecord> unread;
+    bool must_notify = false; ///< other daemons must be notified at once
+    std::vector<InvalidRecord> invalid;
 };
 
 /// Applies records from the directory itself and from the reader of the hall, in any order,
@@ -65,13 +66,13 @@
            DirectoryTopic::Daemons, DirectoryTopic::Suspects};
 
     /// `hall` and `node`: of this daemon.
-    DirectoryView(const DirectoryDialect& dialect, DirectoryPace pace,
+    DirectoryView(const DirectoryDialect& dialect, DirectoryTiming timing,
                   Micros removal_grace_period, std::string node, std::string hall,
                   double writes_per_s, Micros now);
 
     TopicView& of(DirectoryTopic topic) { return m_views[index_of(topic)]; }
     const TopicView& of(DirectoryTopic topic) const { return m_views[index_of(topic)]; }
-    const DirectoryPace& pace() const { return m_pace; }
+    const DirectoryTiming& timing() const { return m_timing; }
     DirectoryFold& fold() { return m_fold; }
     DaemonTable& daemons() { return m_daemons; }
     const DaemonTable& daemons() const { return m_daemons; }
@@ -110,7 +111,7 @@
     // Records from the reader of the hall.
 
     FeedQuery query() const;
-    DirectoryChange take_answer(const FeedAnswer& answer, Micros requested_at, Micros now);
+    DirectoryChange apply_answer(const FeedAnswer& answer, Micros requested_at, Micros now);
     /// The directory returned records that the reader should have sent before.  True if the
     /// reader must not be used any more: a single miss may result from an outage of the
     /// directory that has just ended.
@@ -130,7 +131,7 @@
     /// No daemon answered this daemon's request for a referral.
     void on_peers_unresponsive() { m_peers_answer = false; }
     /// True while this daemon has no daemon to query.
-    bool wants_referral() const;
+    bool needs_referral() const;
     void apply_referral(const DirectoryReferral& referral, Micros now);
 
     // Service to other daemons.
@@ -139,7 +140,7 @@
     UnreachablePeers& unreachable() { return m_unreachable; }
 
     /// Applies the record that another daemon sent about itself.
-    void meet(const DaemonRecord& daemon, Micros now);
+    void on_daemon_announced(const DaemonRecord& daemon, Micros now);
     /// Time for which this daemon, having just started, still waits for others to announce
     /// themselves before it answers with referrals; 0 or less: it answers now.
     Micros time_until_referral(Micros now) const;
@@ -196,11 +197,11 @@
     }
     Micros max_age(DirectoryRole role) const
     {
-        return role == DirectoryRole::HallReader ? m_pace.reader_stale_after
-                                                 : m_pace.stale_after;
+        return role == DirectoryRole::HallReader ? m_timing.reader_stale_after
+                                                 : m_timing.stale_after;
     }
     /// The time as of which both configuration and upstreams are known.
-    Micros known_at() const;
+    Micros required_topics_as_of() const;
     void open_listing(DirectoryTopic topic);
     void forget_offsets(DirectoryTopic topic, Micros now);
     /// True if offsets of a log of that generation are valid in this daemon's log.
@@ -238,7 +239,7 @@
     void confirm(DirectoryTopic topic, Micros as_of, Micros now);
 
     const DirectoryDialect& m_dialect;
-    const DirectoryPace m_pace;
+    const DirectoryTiming m_timing;
     const std::string m_hall;
     const double m_writes_per_s;
     const Micros m_started_at;
--- a/src/include/cypressford/evacuation.h
+++ b/src/include/cypressford/evacuation.h
@@ -19,7 +19,7 @@
 /// An operator begins or ends the evacuation of a hall.
 struct EvacuationRecord {
     std::string hall;
-    bool begun = false; ///< false: ended
+    bool started = false; ///< false: ended
 };
 
 /// Evacuations in force, from records of a log.  The record with the highest offset is in
@@ -53,7 +53,7 @@
 
 private:
     struct Known {
-        bool begun = false;
+        bool started = false;
         Offset at = -1; ///< of the record that is in force
         bool listed = false; ///< named by the current listing
         std::optional<Micros> valid_until; ///< set if the log may have lost the record
--- a/src/include/cypressford/limit_word.h
+++ b/src/include/cypressford/limit_word.h
@@ -13,17 +13,17 @@
 
 namespace cypressford {
 
-struct LimitWord {
+struct LimitReport {
     UpstreamRun run;
     double per_s = 0; ///< requests per second; 0: no limit any more
     /// Age of the answer that announced the limit; without a limit, the time since the
     /// sending of the call whose answer announced none.
     Micros ago = 0;
 
-    bool operator==(const LimitWord&) const = default;
+    bool operator==(const LimitReport&) const = default;
 };
 
-using LimitReports = std::vector<LimitWord>;
+using LimitReports = std::vector<LimitReport>;
 
 /// Maximum number of reports in one message; 40 bytes each.
 inline constexpr std::size_t kMaxLimitReports = 24;
--- a/src/include/cypressford/membership.h
+++ b/src/include/cypressford/membership.h
@@ -48,11 +48,11 @@
 
     /// Advances this daemon's heartbeat.  A long gap since the last call means that this
     /// process was suspended; missing heartbeats of peers then prove nothing about them.
-    void beat(Micros now);
+    void advance_heartbeat(Micros now);
     void set_stopping() { m_self.stopping = true; }
 
     /// Takes information about a member, received from it or from another peer.
-    void hear(const MemberInfo& info, Micros now);
+    void on_member_info(const MemberInfo& info, Micros now);
 
     /// Takes a keepalive of a known member; false if the member is unknown, so that
     /// its full information has to be requested.
@@ -64,7 +64,7 @@
     MemberState state(std::string_view address, Micros now) const;
 
     /// Addresses of the other members that are alive or only suspected.
-    std::vector<std::string> others(Micros now) const;
+    std::vector<std::string> other_members(Micros now) const;
 
     /// Number of live daemons that accept callers, including this one.
     int serving_count(Micros now) const;
--- a/src/include/cypressford/router.h
+++ b/src/include/cypressford/router.h
@@ -17,7 +17,7 @@
 struct Candidate {
     std::uint32_t index = 0; ///< into the caller's list
     int in_flight = 0; ///< calls of this daemon
-    int others = 0; ///< calls of other daemons, as last reported
+    int others_in_flight = 0; ///< calls of other daemons, as last reported
     int queued = 0; ///< calls queued at the upstream, as last reported
     int slots = 1;
     Micros latency = 0; ///< moving average; 0 while unknown
--- a/src/include/cypressford/scheduler.h
+++ b/src/include/cypressford/scheduler.h
@@ -149,7 +149,7 @@
     Micros target_by = 0; ///< when the pieces must be made to meet the target latency
     bool follows_prompt = false; ///< the upstream caching the prompt determines the hall
     std::string near; ///< otherwise the preferred hall for the results
-    bool again = false; ///< the pieces were made before and no longer exist
+    bool is_retry = false; ///< the pieces were made before and no longer exist
 };
 /// Release the results that `request` was prepared with: they will not be read again.
 struct ReleaseInputs {
--- a/src/include/cypressford/self_report.h
+++ b/src/include/cypressford/self_report.h
@@ -35,17 +35,17 @@
     /// The run is leaving; this is final.  `connected_ms`: when the connection was set up
     /// that carried the report, by this daemon's wall clock; 0: unknown.
     void record_leaving(Micros now = 0, std::int64_t connected_ms = 0);
-    bool leaves() const { return m_leaving.load(std::memory_order_relaxed); }
+    bool is_leaving() const { return m_leaving.load(std::memory_order_relaxed); }
     /// Also true while the report may have been attributed to the previous run by mistake.
     bool may_be_leaving(Micros now) const
     {
-        return leaves() || m_may_be_leaving_until.load(std::memory_order_relaxed) > now;
+        return is_leaving() || m_may_be_leaving_until.load(std::memory_order_relaxed) > now;
     }
 
     /// The run requests a backoff: no calls from this daemon until `until`.  Of several
     /// backoffs, the latest end applies.
     /// `connected_ms`: as for record_leaving().
-    void note_rest(Micros until, std::int64_t connected_ms = 0);
+    void record_backoff(Micros until, std::int64_t connected_ms = 0);
     /// Copies from `before`, the previous run of the same upstream, the reports that this
     /// run may have made: answers don't identify the run, and a run that started at `born`
     /// answers before the platform's list shows it.  All connections to a run end with it,
@@ -56,7 +56,7 @@
     /// so these calls add little.
     void inherit(const SelfReport& before, std::int64_t born);
     Micros backoff_until() const { return m_backoff_until.load(std::memory_order_relaxed); }
-    bool rests(Micros now) const { return backoff_until() > now; }
+    bool in_backoff(Micros now) const { return backoff_until() > now; }
 
     /// An answer announced how many requests per second the run accepts from all daemons
     /// together, or no limit; its call was sent at `sent`.  Answers may overtake each
@@ -71,9 +71,9 @@
     }
     /// Applies a report of another daemon; `now` is at most kReportDelay after it was sent.
     /// True if the limit changed.
-    bool apply_limit_report(const LimitWord& report, Micros now);
+    bool apply_limit_report(const LimitReport& report, Micros now);
     /// The report to send: the limit, or for kEndReportTime the fact that it has ended.
-    std::optional<LimitWord> word(const UpstreamRun& run, Micros now) const;
+    std::optional<LimitReport> limit_report(const UpstreamRun& run, Micros now) const;
     /// This daemon's part of the run's limit.
     SharedRate& limit() { return m_limit; }
     const SharedRate& limit() const { return m_limit; }
--- a/src/include/cypressford/upstream.h
+++ b/src/include/cypressford/upstream.h
@@ -47,12 +47,12 @@
     /// `seed`: random, one per daemon.
     UpstreamState(std::string address_, std::string hall_, std::string identity_ = {},
                   std::uint64_t seed = 0, std::int64_t born_ = 0,
-                  std::shared_ptr<SelfReport> said_ = std::make_shared<SelfReport>())
+                  std::shared_ptr<SelfReport> self_report_ = std::make_shared<SelfReport>())
         : address(std::move(address_))
         , hall(std::move(hall_))
         , identity(std::move(identity_))
         , born(born_)
-        , said(std::move(said_))
+        , self_report(std::move(self_report_))
         , cold(seed ^ address_hash ^ std::hash<std::string> {}(identity))
     {
     }
@@ -61,12 +61,12 @@
     const std::string hall;
     const std::string identity; ///< empty if the platform gives none
     const std::int64_t born; ///< start time of this run; see UpstreamRun
-    const std::shared_ptr<SelfReport> said; ///< self-report of this run; never null
+    const std::shared_ptr<SelfReport> self_report; ///< self-report of this run; never null
     const std::uint64_t address_hash = std::hash<std::string> {}(address);
 
     std::atomic<int> slots {0}; ///< concurrent calls; 0: as configured for its set
     std::atomic<int> in_flight {0}; ///< calls of this daemon
-    std::atomic<int> others {
+    std::atomic<int> others_in_flight {
         0}; ///< calls of other daemons, including queued ones, as last reported
     std::atomic<int> queued {0}; ///< calls queued at the upstream, as last reported
     std::atomic<Micros> reported_at {-1}; ///< when the report was made; -1 for never
@@ -84,7 +84,7 @@
     /// True if the platform, a peer or the upstream itself reports it as leaving.
     bool is_leaving(Micros now) const
     {
-        return leaving.load(std::memory_order_relaxed) || said->may_be_leaving(now);
+        return leaving.load(std::memory_order_relaxed) || self_report->may_be_leaving(now);
     }
 
     /// The run of the upstream that this state belongs to.
@@ -124,7 +124,7 @@
 class SetLoad {
 public:
     /// Sets the expected wait of a piece of that priority that arrives at `now`.
-    void tell(int priority, Micros expected_wait, Micros now)
+    void set_expected_wait(int priority, Micros expected_wait, Micros now)
     {
         WaitEstimate& estimate = m_waits.at(static_cast<std::size_t>(priority));
         estimate.wait.store(expected_wait, std::memory_order_relaxed);
@@ -219,7 +219,8 @@
     std::unordered_map<std::string, std::size_t> pipeline_by_name;
     std::unordered_map<std::string, std::size_t> account_by_digest;
     std::unordered_map<std::string, PathIndex> paths_by_host; ///< of relayed pipelines
-    std::size_t nobody = 0; ///< index of the account of callers without a credential
+    std::size_t anonymous_account
+        = 0; ///< index of the account of callers without a credential
     CallerLimits limits;
 
     /// The pipeline for a relayed request; `pick` chooses by weight among those that
--- a/src/libcypressford/candidates.cpp
+++ b/src/libcypressford/candidates.cpp
@@ -53,7 +53,7 @@
     Candidate c;
     c.index = index;
     c.in_flight = upstream.in_flight.load(std::memory_order_relaxed);
-    c.others = upstream.others.load(std::memory_order_relaxed);
+    c.others_in_flight = upstream.others_in_flight.load(std::memory_order_relaxed);
     c.queued = upstream.queued.load(std::memory_order_relaxed);
     c.slots = slots;
     c.latency = aged_latency(upstream, now);
@@ -88,7 +88,8 @@
     const bool is_counted
         = query.is_counted && !query.granted.empty() && upstream.identity == query.granted;
     if (is_counted)
-        return is_in_service(upstream, query.now) && !upstream.said->rests(query.now);
+        return is_in_service(upstream, query.now)
+            && !upstream.self_report->in_backoff(query.now);
     return is_usable(upstream, query.now);
 }
 
@@ -150,7 +151,7 @@
     // Reports on the calls of other daemons lag, so the slots that they seem to leave free
     // are used cautiously: at most one call beyond the even share.
     const int even = (slots + daemons_in_hall - 1) / std::max(1, daemons_in_hall);
-    const int left = slots - upstream.others.load(std::memory_order_relaxed);
+    const int left = slots - upstream.others_in_flight.load(std::memory_order_relaxed);
     return std::clamp(left, even, std::min(slots, even + 1));
 }
 
@@ -168,7 +169,7 @@
 bool
 has_backoff(const UpstreamState& upstream, Micros now)
 {
-    return upstream.said->rests(now) && !mutated(Mutation::SendToResting);
+    return upstream.self_report->in_backoff(now) && !mutated(Mutation::SendToResting);
 }
 
 } // namespace
@@ -183,14 +184,14 @@
     if (count == CallCount::Counted)
         return true;
     const RatePart part = count == CallCount::Own ? RatePart::Own : RatePart::Granted;
-    return upstream.said->limit().take(part, now);
+    return upstream.self_report->limit().take(part, now);
 }
 
 Micros
 unavailable_until(const UpstreamState& upstream, RatePart part)
 {
-    return std::max(upstream.said->backoff_until(),
-                    upstream.said->limit().next_allowed_at(part));
+    return std::max(upstream.self_report->backoff_until(),
+                    upstream.self_report->limit().next_allowed_at(part));
 }
 
 bool
@@ -204,7 +205,7 @@
 is_usable(const UpstreamState& upstream, Micros now, RatePart part)
 {
     return is_in_service(upstream, now) && !has_backoff(upstream, now)
-        && upstream.said->limit().next_allowed_at(part) <= now;
+        && upstream.self_report->limit().next_allowed_at(part) <= now;
 }
 
 void
@@ -230,7 +231,7 @@
 bool
 is_paced(const UpstreamState& upstream, Micros now)
 {
-    return upstream.cold.is_cold(now) || upstream.said->limit().is_set();
+    return upstream.cold.is_cold(now) || upstream.self_report->limit().is_set();
 }
 
 /// This daemon's share of the slots of upstreams that are not rate-limited.
@@ -244,7 +245,7 @@
             continue;
         const int slots = slots_of(*upstream, set);
         const double even = static_cast<double>(slots) / std::max(1, daemons);
-        const int left = slots - upstream->others.load(std::memory_order_relaxed);
+        const int left = slots - upstream->others_in_flight.load(std::memory_order_relaxed);
         share += std::clamp(static_cast<double>(left), even, 2 * even);
     }
     return share;
@@ -254,7 +255,7 @@
 double
 paced_rate(const UpstreamState& upstream, int daemons, Micros now)
 {
-    const SharedRate& limit = upstream.said->limit();
+    const SharedRate& limit = upstream.self_report->limit();
     const double cold = upstream.cold.own_rate(daemons);
     if (!limit.is_set())
         return cold;
--- a/src/libcypressford/cold.cpp
+++ b/src/libcypressford/cold.cpp
@@ -50,7 +50,7 @@
 }
 
 void
-ColdState::note(Micros until)
+ColdState::mark_cold_until(Micros until)
 {
     Micros known = m_until.load(std::memory_order_relaxed);
     while (known < until
@@ -61,7 +61,7 @@
 ColdState::assume_cold(Micros now)
 {
     if (const Micros time = m_time.load(std::memory_order_relaxed); time > 0)
-        note(now + time);
+        mark_cold_until(now + time);
 }
 
 bool
@@ -96,7 +96,7 @@
     const Micros until = m_until.load(std::memory_order_relaxed);
     const Micros since = until - m_time.load(std::memory_order_relaxed);
     const auto interval = static_cast<double>(interval_of(own_rate(daemons)));
-    return since + static_cast<Micros>(spread(m_seed) * interval);
+    return since + static_cast<Micros>(uniform_from(m_seed) * interval);
 }
 
 bool
--- a/src/libcypressford/cold_test.cpp
+++ b/src/libcypressford/cold_test.cpp
@@ -48,7 +48,7 @@
     for (int daemon = 0; daemon < daemons; ++daemon) {
         states.push_back(std::make_unique<ColdState>(1000 + daemon));
         states.back()->set_spec(kCold);
-        states.back()->note(kColdTime);
+        states.back()->mark_cold_until(kColdTime);
     }
     return states;
 }
@@ -102,7 +102,7 @@
 TEST_CASE("without a rate, or after its cold period, an upstream is not cold")
 {
     ColdState state(7);
-    state.note(kSecond);
+    state.mark_cold_until(kSecond);
     CHECK_FALSE(state.is_cold(0));
     state.set_spec(kCold);
     CHECK(state.is_cold(0));
@@ -110,7 +110,7 @@
     state.assume_cold(2 * kSecond);
     CHECK(state.is_cold(4 * kSecond));
     // An earlier end does not shorten the cold period.
-    state.note(3 * kSecond);
+    state.mark_cold_until(3 * kSecond);
     CHECK(state.is_cold(4 * kSecond));
 }
 
@@ -133,7 +133,7 @@
     auto warm = std::make_shared<UpstreamState>("10.0.0.1:1", "a", "warm");
     auto cold = std::make_shared<UpstreamState>("10.0.0.2:1", "a", "cold");
     const UpstreamSet set = set_of({warm, cold});
-    cold->cold.note(kColdTime);
+    cold->cold.mark_cold_until(kColdTime);
     PromptPlacer placer;
     std::vector<Micros> at_cold;
     int at_warm = 0;
@@ -166,7 +166,7 @@
     UpstreamSet set = set_of({cold, warm});
     set.spec.slots = 100;
     set.spec.batch = BatchSpec {1, 2, 150 * kMillisecond, kMillisecond, 0, 0};
-    cold->cold.note(kColdTime);
+    cold->cold.mark_cold_until(kColdTime);
     PieceQueue queue;
     const auto add = [&](PieceId id) {
         WaitingPiece piece;
@@ -195,12 +195,12 @@
 }
 
 UpstreamRecord
-record(std::uint64_t sequence, Micros cold_left)
+record(std::uint64_t sequence, Micros remaining_cold_time)
 {
     UpstreamRecord result;
     result.member = {"a", "set", "10.0.0.1:80", "hall", 1, false};
     result.sequence = sequence;
-    result.cold_left = cold_left;
+    result.remaining_cold_time = remaining_cold_time;
     return result;
 }
 
@@ -220,7 +220,7 @@
 TEST_CASE("requests go to warm upstreams of other halls while the local hall is cold")
 {
     Fleet fleet({kCold, {}, {}, 2});
-    fleet.ia->cold.note(kColdTime);
+    fleet.ia->cold.mark_cold_until(kColdTime);
     for (int i = 0; i < 2; ++i)
         CHECK(fleet.arrive() == fleet.ib.get());
     fleet.now = kColdTime;
@@ -230,7 +230,7 @@
 TEST_CASE("with cold upstreams only, a daemon sends no more than its part")
 {
     Fleet fleet({kCold, {}, {}, 1});
-    fleet.ia->cold.note(kColdTime);
+    fleet.ia->cold.mark_cold_until(kColdTime);
     fleet.ib->evacuated = true;
     int sent = 0;
     for (int i = 0; i < 20; ++i)
--- a/src/libcypressford/daemon_table.cpp
+++ b/src/libcypressford/daemon_table.cpp
@@ -376,9 +376,9 @@
         = reads ? std::string(kRootName) : name_of_part(requester.hall, own_part);
     std::vector<const Known*>& able = reads ? all : of_hall;
     std::erase_if(able, is_requester);
-    while (referral.ask.size() < kMaxReferredDaemons && !able.empty()) {
+    while (referral.daemons.size() < kMaxReferredDaemons && !able.empty()) {
         const Known* next = choose(able, name);
-        referral.ask.push_back(next->record);
+        referral.daemons.push_back(next->record);
         std::erase(able, next);
     }
     return referral;
--- a/src/libcypressford/directory_feed.cpp
+++ b/src/libcypressford/directory_feed.cpp
@@ -80,7 +80,7 @@
 fill(proto::FeedReferral& out, const DirectoryReferral& referral)
 {
     out.set_role(static_cast<std::uint32_t>(referral.role));
-    for (const DaemonRecord& daemon : referral.ask)
+    for (const DaemonRecord& daemon : referral.daemons)
         out.add_daemons(encode(daemon));
     out.set_alive(static_cast<std::uint32_t>(std::max(0, referral.alive)));
 }
@@ -93,7 +93,7 @@
         referral.role = static_cast<DirectoryRole>(in.role());
     for (const std::string& bytes : in.daemons())
         if (auto daemon = decode_daemon(bytes))
-            referral.ask.push_back(*std::move(daemon));
+            referral.daemons.push_back(*std::move(daemon));
     referral.alive = static_cast<int>(in.alive());
     return referral;
 }
@@ -217,16 +217,17 @@
     m_offset = entry.offset;
     const auto base_value = history.value_of(base);
     const std::uint64_t used = base_value ? base : 0;
-    auto known = std::find_if(m_packed.begin(), m_packed.end(),
-                              [used](const Packed& p) { return p.base == used; });
-    if (known == m_packed.end()) {
+    auto packed = std::find_if(m_packed.begin(), m_packed.end(),
+                               [used](const Packed& p) { return p.base == used; });
+    if (packed == m_packed.end()) {
         const std::string_view against = base_value.value_or(std::string_view {});
         m_packed.push_back({used, cypressford::pack(entry.record.value, against)});
-        known = std::prev(m_packed.end());
+        packed = std::prev(m_packed.end());
     }
-    if (known->value.empty())
+    if (packed->value.empty())
         return entry;
-    return {entry.offset, {entry.record.key, known->value}, true, used, entry.is_keepalive};
+    return {
+        entry.offset, {entry.record.key, packed->value}, true, used, entry.is_keepalive};
 }
 
 bool
@@ -246,7 +247,7 @@
     return true;
 }
 
-DirectoryPace::DirectoryPace(Micros bound_, Micros heartbeat)
+DirectoryTiming::DirectoryTiming(Micros bound_, Micros heartbeat)
     : bound(bound_)
     , outage(kOutageHeartbeats * heartbeat)
     , stale_after(std::min(fraction_of(bound, kStaleFraction),
@@ -268,16 +269,16 @@
         item->set_topic(static_cast<std::uint32_t>(cursor.topic));
         item->set_offset(cursor.from);
         item->set_base(cursor.base);
-        item->set_takes_listing(cursor.takes_listing);
+        item->set_takes_listing(cursor.accepts_listing);
     }
     out.set_wait_ms(to_ms(query.wait));
-    out.set_takes_packed(query.takes_packed);
-    out.set_wants_signs(query.wants_signs);
+    out.set_takes_packed(query.accepts_packed);
+    out.set_wants_signs(query.wants_keepalives);
     if (query.joiner)
         out.set_joiner(encode(*query.joiner));
-    for (const std::string& address : query.lost)
+    for (const std::string& address : query.unreachable)
         out.add_lost(address);
-    out.set_takes_unreachable(query.takes_unreachable);
+    out.set_takes_unreachable(query.accepts_unreachable_list);
     out.set_unreachable_revision(query.unreachable_revision);
     out.set_generation(query.generation);
     return out.SerializeAsString();
@@ -291,12 +292,12 @@
         return fail(ErrorKind::BadRequest, "malformed directory feed query");
     FeedQuery query;
     query.wait = in.wait_ms() * kMillisecond;
-    query.takes_packed = in.takes_packed();
-    query.wants_signs = in.wants_signs();
+    query.accepts_packed = in.takes_packed();
+    query.wants_keepalives = in.wants_signs();
     if (auto joiner = decode_daemon(in.joiner()))
         query.joiner = *std::move(joiner);
-    query.lost.assign(in.lost().begin(), in.lost().end());
-    query.takes_unreachable = in.takes_unreachable();
+    query.unreachable.assign(in.lost().begin(), in.lost().end());
+    query.accepts_unreachable_list = in.takes_unreachable();
     query.unreachable_revision = in.unreachable_revision();
     query.generation = in.generation();
     for (const proto::FeedCursor& cursor : in.cursors())
@@ -356,17 +357,17 @@
         const auto topic = topic_of(item.topic());
         if (!topic)
             continue;
-        FeedAnswer::Topic known;
-        known.topic = *topic;
-        known.covered = item.covered();
-        known.next = item.next();
-        known.age = item.age_ms() * kMillisecond;
-        known.pending = item.pending();
-        known.listing.assign(item.listing().begin(), item.listing().end());
-        known.listing_end = item.listing_end();
+        FeedAnswer::Topic decoded;
+        decoded.topic = *topic;
+        decoded.covered = item.covered();
+        decoded.next = item.next();
+        decoded.age = item.age_ms() * kMillisecond;
+        decoded.pending = item.pending();
+        decoded.listing.assign(item.listing().begin(), item.listing().end());
+        decoded.listing_end = item.listing_end();
         for (const proto::FeedRecord& record : item.records())
-            known.records.push_back(read(record));
-        answer.topics.push_back(std::move(known));
+            decoded.records.push_back(read(record));
+        answer.topics.push_back(std::move(decoded));
     }
     return answer;
 }
--- a/src/libcypressford/directory_feed_test.cpp
+++ b/src/libcypressford/directory_feed_test.cpp
@@ -142,9 +142,9 @@
 TEST_CASE("compressed records of two topics at the same offset are not confused")
 {
     const TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, kSecond);
-    DirectoryView reader(dialect, pace, kGracePeriod, "reader", "hall", 400, 0);
-    DirectoryView follower(dialect, pace, kGracePeriod, "follower", "hall", 400, 0);
+    const DirectoryTiming timing(2 * kSecond, kSecond);
+    DirectoryView reader(dialect, timing, kGracePeriod, "reader", "hall", 400, 0);
+    DirectoryView follower(dialect, timing, kGracePeriod, "follower", "hall", 400, 0);
     for (DirectoryView* view : {&reader, &follower})
         for (const DirectoryTopic topic : DirectoryView::kTopics)
             view->end_listing(topic, 0, 0, 0);
@@ -155,7 +155,7 @@
     const FeedAnswer answer = reader.answer_to(follower.query(), 0);
     REQUIRE(answer.topics.at(0).records.size() == 1);
     CHECK(answer.topics[0].records[0].packed);
-    follower.take_answer(answer, 0, 0);
+    follower.apply_answer(answer, 0, 0);
     REQUIRE(follower.fold().configuration());
     CHECK(follower.fold().configuration()->version == 7);
     const auto members = follower.fold().members();
@@ -166,8 +166,8 @@
 TEST_CASE("a daemon that does not accept compressed values is sent uncompressed ones")
 {
     const TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, kSecond);
-    DirectoryView reader(dialect, pace, kGracePeriod, "reader", "hall", 400, 0);
+    const DirectoryTiming timing(2 * kSecond, kSecond);
+    DirectoryView reader(dialect, timing, kGracePeriod, "reader", "hall", 400, 0);
     for (const DirectoryTopic topic : DirectoryView::kTopics)
         reader.end_listing(topic, 0, 0, 0);
     const std::string value = "7" + std::string(10'000, ' ');
@@ -183,14 +183,14 @@
 TEST_CASE("a reader reports at once which daemons are unreachable for it")
 {
     const TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, kSecond);
-    DirectoryView reader(dialect, pace, kGracePeriod, "reader", "hall", 400, 0);
-    DirectoryView follower(dialect, pace, kGracePeriod, "follower", "hall", 400, 0);
+    const DirectoryTiming timing(2 * kSecond, kSecond);
+    DirectoryView reader(dialect, timing, kGracePeriod, "reader", "hall", 400, 0);
+    DirectoryView follower(dialect, timing, kGracePeriod, "follower", "hall", 400, 0);
     for (DirectoryView* view : {&reader, &follower})
         for (const DirectoryTopic topic : DirectoryView::kTopics)
             view->end_listing(topic, 0, 0, 0);
     FeedQuery query = follower.query();
-    query.takes_unreachable = true;
+    query.accepts_unreachable_list = true;
     CHECK_FALSE(reader.must_answer(query));
     UnreachablePeers& peers = reader.unreachable();
     CHECK(peers.begin_check("10.0.0.1:1"));
@@ -218,17 +218,17 @@
 TEST_CASE("a change that is passed on by readers is in force within the bound")
 {
     for (const Micros bound : {1000, 2000, 3000, 4000, 10000}) {
-        const DirectoryPace pace(bound * kMillisecond, 1200 * kMillisecond);
+        const DirectoryTiming timing(bound * kMillisecond, 1200 * kMillisecond);
         // A reader's state is as old as its request; its answer to a query may be held.
-        const Micros of_root = std::max(pace.read_wait, pace.read_interval);
-        const Micros of_reader = of_root + pace.reader_hold;
-        CHECK(of_reader < pace.reader_stale_after);
-        CHECK(of_reader + pace.hold < pace.stale_after);
+        const Micros of_root = std::max(timing.read_wait, timing.read_interval);
+        const Micros of_reader = of_root + timing.reader_hold;
+        CHECK(of_reader < timing.reader_stale_after);
+        CHECK(of_reader + timing.hold < timing.stale_after);
         // A reader that loses the root reader refreshes its state before its followers
         // query the directory themselves.
-        CHECK(pace.reader_stale_after + pace.hold < pace.stale_after);
-        CHECK(pace.stale_after < bound * kMillisecond);
-        CHECK(pace.stale_after <= pace.outage);
+        CHECK(timing.reader_stale_after + timing.hold < timing.stale_after);
+        CHECK(timing.stale_after < bound * kMillisecond);
+        CHECK(timing.stale_after <= timing.outage);
     }
 }
 
@@ -238,9 +238,9 @@
     query.cursors = {{DirectoryTopic::Upstreams, 77, 12345},
                      {DirectoryTopic::Daemons, FeedQuery::kNothing, 0, true}};
     query.wait = 250 * kMillisecond;
-    query.takes_packed = true;
-    query.lost = {"10.0.0.1:1"};
-    query.takes_unreachable = true;
+    query.accepts_packed = true;
+    query.unreachable = {"10.0.0.1:1"};
+    query.accepts_unreachable_list = true;
     query.unreachable_revision = 7;
     const auto decoded_query = decode_feed_query(encode(query));
     REQUIRE(decoded_query);
@@ -248,13 +248,13 @@
     CHECK(decoded_query->cursors[0].topic == DirectoryTopic::Upstreams);
     CHECK(decoded_query->cursors[0].from == 77);
     CHECK(decoded_query->cursors[0].base == 12345);
-    CHECK_FALSE(decoded_query->cursors[0].takes_listing);
+    CHECK_FALSE(decoded_query->cursors[0].accepts_listing);
     CHECK(decoded_query->cursors[1].from == FeedQuery::kNothing);
-    CHECK(decoded_query->cursors[1].takes_listing);
-    CHECK(decoded_query->takes_packed);
+    CHECK(decoded_query->cursors[1].accepts_listing);
+    CHECK(decoded_query->accepts_packed);
     CHECK(decoded_query->wait == 250 * kMillisecond);
-    CHECK(decoded_query->lost == query.lost);
-    CHECK(decoded_query->takes_unreachable);
+    CHECK(decoded_query->unreachable == query.unreachable);
+    CHECK(decoded_query->accepts_unreachable_list);
     CHECK(decoded_query->unreachable_revision == 7);
     FeedAnswer answer;
     answer.held = 20 * kMillisecond;
--- a/src/libcypressford/directory_fold.cpp
+++ b/src/libcypressford/directory_fold.cpp
@@ -103,7 +103,8 @@
         return false;
     UpstreamMember member = record.member;
     member.leaving |= known.member.leaving;
-    const Micros cold_until = record.cold_left > 0 ? now + record.cold_left : 0;
+    const Micros cold_until
+        = record.remaining_cold_time > 0 ? now + record.remaining_cold_time : 0;
     member.cold_until = cold_until > known.member.cold_until + kColdTolerance
         ? cold_until
         : known.member.cold_until;
--- a/src/libcypressford/directory_view.cpp
+++ b/src/libcypressford/directory_view.cpp
@@ -15,15 +15,15 @@
 
 namespace cypressford {
 
-DirectoryView::DirectoryView(const DirectoryDialect& dialect, DirectoryPace pace,
+DirectoryView::DirectoryView(const DirectoryDialect& dialect, DirectoryTiming timing,
                              Micros removal_grace_period, std::string node,
                              std::string hall, double writes_per_s, Micros now)
     : m_dialect(dialect)
-    , m_pace(pace)
+    , m_timing(timing)
     , m_hall(std::move(hall))
     , m_writes_per_s(writes_per_s)
     , m_started_at(now)
-    , m_jitter_fraction(spread(fast_hash(node)))
+    , m_jitter_fraction(uniform_from(fast_hash(node)))
     , m_fold(removal_grace_period)
     , m_daemons(std::move(node), record_timeout(1, writes_per_s))
 {
@@ -87,7 +87,7 @@
     if (!std::exchange(view.was_listed, true))
         view.as_of = requested_at;
     if (std::exchange(view.is_restored, false))
-        view.rewrites_until = now + m_pace.outage;
+        view.rewrites_until = now + m_timing.outage;
     view.next = end;
     view.known_end = std::max(view.known_end, end);
     view.listing.end_listing();
@@ -119,12 +119,12 @@
         const bool is_seen = view.next && offset < *view.next;
         // A configuration is applied nevertheless: the reader may have sent a listing, in
         // which the newest configuration was an older one, written late.
-        const bool is_taken = !is_seen || is_configuration(topic, record);
+        const bool is_applied = !is_seen || is_configuration(topic, record);
         const bool changed
-            = is_taken && apply_record(topic, record, offset, after_outage, now, change);
+            = is_applied && apply_record(topic, record, offset, after_outage, now, change);
         if (!is_seen && (changed || is_in_force(topic, record)))
             keep_record(topic, offset, record);
-        change.news |= changed && topic != DirectoryTopic::Daemons;
+        change.must_notify |= changed && topic != DirectoryTopic::Daemons;
         record_newest(topic, record, offset, changed || is_in_force(topic, record));
         ++offset;
     }
@@ -168,7 +168,7 @@
     on_history_lost(topic, now);
     view.known_end = 0;
     view.is_restored = true;
-    view.overdue = false;
+    view.reader_lacks_records = false;
     view.just_changed = false;
     view.history = {};
     view.packer = {};
@@ -257,7 +257,7 @@
 {
     const TopicView& view = of(topic);
     return view.is_restored || now < view.rewrites_until
-        || now - view.as_of > m_pace.outage;
+        || now - view.as_of > m_timing.outage;
 }
 
 void
@@ -298,13 +298,13 @@
         return apply_evacuation(*evacuation, at);
     auto bundle = m_dialect.decode_configuration(record);
     if (!bundle) {
-        change.unread.push_back(
+        change.invalid.push_back(
             {DirectoryTopic::Configuration, record.key, bundle.error().detail});
         return false;
     }
     const auto faults = check_bundle(*bundle);
     if (!faults.empty()) {
-        change.unread.push_back(
+        change.invalid.push_back(
             {DirectoryTopic::Configuration, record.key, faults.front().message});
         return false;
     }
@@ -343,7 +343,7 @@
         return changed;
     }
     m_fold.mark_listed(record.key);
-    change.unread.push_back(
+    change.invalid.push_back(
         {DirectoryTopic::Upstreams, record.key, upstream.error().detail});
     return false;
 }
@@ -356,7 +356,7 @@
         return m_suspects.drop(record.key);
     const auto suspects = decode_suspects(record.value);
     if (!suspects) {
-        change.unread.push_back(
+        change.invalid.push_back(
             {DirectoryTopic::Suspects, record.key, suspects.error().detail});
         return false;
     }
@@ -383,7 +383,7 @@
         m_daemons.apply(*daemon, now);
         m_new_daemons.push_back(*std::move(daemon));
     } else {
-        change.unread.push_back(
+        change.invalid.push_back(
             {DirectoryTopic::Daemons, record.key, daemon.error().detail});
     }
 }
--- a/src/libcypressford/directory_view_feed.cpp
+++ b/src/libcypressford/directory_view_feed.cpp
@@ -31,10 +31,10 @@
 {
     FeedQuery query;
     const bool is_reader = source().role != DirectoryRole::Follower;
-    query.wait = is_reader ? m_pace.reader_hold : m_pace.hold;
-    query.takes_packed = true;
+    query.wait = is_reader ? m_timing.reader_hold : m_timing.hold;
+    query.accepts_packed = true;
     query.generation = m_generation;
-    query.wants_signs = is_reader;
+    query.wants_keepalives = is_reader;
     for (const DirectoryTopic topic : kTopics) {
         const TopicView& view = of(topic);
         query.cursors.push_back({topic, view.next.value_or(FeedQuery::kNothing),
@@ -44,7 +44,7 @@
 }
 
 DirectoryChange
-DirectoryView::take_answer(const FeedAnswer& answer, Micros requested_at, Micros now)
+DirectoryView::apply_answer(const FeedAnswer& answer, Micros requested_at, Micros now)
 {
     DirectoryChange change;
     if (!shares_offsets(answer.generation) && !mutated(Mutation::TakeOlderGeneration))
@@ -56,7 +56,7 @@
         if (topic.covered)
             apply_topic(topic, now - topic.age - in_transit, now, change);
         else
-            of(topic.topic).overdue = !topic.pending;
+            of(topic.topic).reader_lacks_records = !topic.pending;
         of(topic.topic).is_pending = topic.pending;
     }
     return change;
@@ -95,7 +95,7 @@
     const bool after_outage = is_after_outage(topic.topic, now);
     const bool is_behind = !view.next || *view.next < topic.listing_end;
     if (is_behind && !apply_listing(topic, now, change)) {
-        view.overdue = true;
+        view.reader_lacks_records = true;
         return;
     }
     const Offset seen = *view.next;
@@ -104,14 +104,14 @@
             continue;
         OffsetRecord whole = entry;
         if (!RecordPacker::unpack(whole, view.history)) {
-            change.unread.push_back(
+            change.invalid.push_back(
                 {topic.topic, entry.record.key, "compressed against an unknown value"});
-            view.overdue = true;
+            view.reader_lacks_records = true;
             return;
         }
         const bool changed = apply_record(topic.topic, whole.record, whole.offset,
                                           after_outage, now, change);
-        change.news |= changed && topic.topic != DirectoryTopic::Daemons;
+        change.must_notify |= changed && topic.topic != DirectoryTopic::Daemons;
         keep_received(topic.topic, whole, changed);
     }
     view.next = std::max(seen, topic.next);
@@ -136,7 +136,7 @@
     for (const std::string& part : topic.listing) {
         auto unpacked = unpack_listing(part);
         if (!unpacked) {
-            change.unread.push_back({topic.topic, "listing", unpacked.error().detail});
+            change.invalid.push_back({topic.topic, "listing", unpacked.error().detail});
             return false;
         }
         for (OffsetRecord& entry : *unpacked)
@@ -145,10 +145,11 @@
     }
     open_listing(topic.topic);
     const DirectoryChange listed = apply_listed(topic.topic, records, now);
-    change.unread.insert(change.unread.end(), listed.unread.begin(), listed.unread.end());
+    change.invalid.insert(change.invalid.end(), listed.invalid.begin(),
+                          listed.invalid.end());
     // The age in the answer applies to the listing together with the records that follow.
     end_listing(topic.topic, topic.listing_end, kUnknownAge, now);
-    change.news = true;
+    change.must_notify = true;
     return true;
 }
 
@@ -187,7 +188,7 @@
 bool
 DirectoryView::must_answer(const FeedQuery& query) const
 {
-    if (query.takes_unreachable
+    if (query.accepts_unreachable_list
         && query.unreachable_revision != m_unreachable.list().revision)
         return true;
     return std::any_of(query.cursors.begin(), query.cursors.end(), [&](const auto& cursor) {
@@ -209,20 +210,20 @@
     for (const FeedQuery::Cursor& requested : query.cursors) {
         const FeedQuery::Cursor cursor = to_local_cursor(requested, query.generation);
         FeedAnswer::Topic topic = answer_to(cursor, now);
-        const bool wants_signs
-            = query.wants_signs && cursor.topic == DirectoryTopic::Upstreams;
-        if (topic.covered && wants_signs)
+        const bool wants_keepalives
+            = query.wants_keepalives && cursor.topic == DirectoryTopic::Upstreams;
+        if (topic.covered && wants_keepalives)
             add_keepalives(topic.records,
                            topic.listing.empty() ? cursor.from : topic.listing_end);
         TopicView& view = of(cursor.topic);
         // A requester that applies a listing discards the value whose hash it sent.
         const std::uint64_t base = topic.listing.empty() ? cursor.base : 0;
-        if (query.takes_packed)
+        if (query.accepts_packed)
             for (OffsetRecord& entry : topic.records)
                 entry = view.packer.pack(entry, view.history, base);
         answer.topics.push_back(std::move(topic));
     }
-    if (query.takes_unreachable
+    if (query.accepts_unreachable_list
         && query.unreachable_revision != m_unreachable.list().revision)
         answer.unreachable = m_unreachable.list();
     return answer;
@@ -237,7 +238,7 @@
     topic.topic = cursor.topic;
     topic.pending = !view.next;
     auto records = view.history.since(cursor.from);
-    if (!records && cursor.takes_listing && view.next) {
+    if (!records && cursor.accepts_listing && view.next) {
         const PackedListing& listing = view.listing.packed(view.history);
         topic.listing = listing.parts;
         topic.listing_end = listing.end;
--- a/src/libcypressford/directory_view_test.cpp
+++ b/src/libcypressford/directory_view_test.cpp
@@ -17,14 +17,14 @@
     "for them")
 {
     TextDialect dialect;
-    const DirectoryPace pace(4 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(4 * kSecond, 1200 * kMillisecond);
     const auto list = [](DirectoryView& view, DirectoryTopic topic) {
         view.begin_listing(topic, 0);
         if (topic == DirectoryTopic::Configuration)
             view.apply_listed(topic, {{"config", "1"}}, 0);
         view.end_listing(topic, 1, 0, 0);
     };
-    DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
+    DirectoryView view(dialect, timing, 0, "own", "hall", 400, 0);
     list(view, DirectoryTopic::Configuration);
     CHECK_FALSE(view.can_serve(kSecond));
     list(view, DirectoryTopic::Upstreams);
@@ -39,11 +39,11 @@
 TEST_CASE("readers retry an unavailable directory at a constant rate")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
     std::map<DirectoryRole, Micros> longest;
     const std::vector<DaemonRecord> records = fleet(40);
     for (const DaemonRecord& own : records) {
-        DirectoryView view(dialect, pace, 0, own.node, own.hall, 400, 0);
+        DirectoryView view(dialect, timing, 0, own.node, own.hall, 400, 0);
         CHECK(view.retry_delay(9) < 500 * kMillisecond);
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
@@ -67,8 +67,8 @@
 TEST_CASE("a daemon that waits for records from a reader refreshes them in time")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
-    DirectoryView reader(dialect, pace, 0, "reader", "hall", 400, 0);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
+    DirectoryView reader(dialect, timing, 0, "reader", "hall", 400, 0);
     for (const DirectoryTopic topic : DirectoryView::kTopics) {
         reader.begin_listing(topic, 0);
         if (topic == DirectoryTopic::Configuration)
@@ -77,13 +77,13 @@
     }
     const std::vector<DaemonRecord> records = fleet(2);
     for (int draw = 0; draw < 20; ++draw) {
-        DirectoryView fresh(dialect, pace, 0, "fresh" + std::to_string(draw), "hall", 400,
+        DirectoryView fresh(dialect, timing, 0, "fresh" + std::to_string(draw), "hall", 400,
                             0);
         fresh.expect_referral(records[0], false);
         fresh.apply_referral({DirectoryRole::Follower, {records[1]}}, 0);
         const Micros waits_until = fresh.time_until_read(DirectoryTopic::Configuration, 0);
         CHECK(waits_until > 0);
-        fresh.take_answer(reader.answer_to(fresh.query(), 0), 0, 0);
+        fresh.apply_answer(reader.answer_to(fresh.query(), 0), 0, 0);
         REQUIRE(fresh.fold().configuration());
         const Micros must_read_at = fresh.time_until_read(DirectoryTopic::Configuration, 0);
         CHECK(waits_until <= must_read_at);
@@ -93,11 +93,11 @@
 TEST_CASE("a reader that did not answer is queried once more while the state is not stale")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
     constexpr Micros answer_time = 300 * kMillisecond;
     const std::vector<DaemonRecord> records = fleet(40);
     for (const DaemonRecord& own : records) {
-        DirectoryView view(dialect, pace, 0, own.node, own.hall, 400, 0);
+        DirectoryView view(dialect, timing, 0, own.node, own.hall, 400, 0);
         CHECK_FALSE(view.may_retry_reader(answer_time, 0));
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
@@ -106,7 +106,7 @@
         for (const DaemonRecord& record : records)
             view.daemons().apply(record, 0);
         const bool is_reader = view.source().role == DirectoryRole::HallReader;
-        const Micros fresh = is_reader ? pace.reader_stale_after : pace.stale_after;
+        const Micros fresh = is_reader ? timing.reader_stale_after : timing.stale_after;
         CHECK(view.may_retry_reader(answer_time, fresh - answer_time - 1));
         CHECK_FALSE(view.may_retry_reader(answer_time, fresh - answer_time));
     }
@@ -115,8 +115,8 @@
 TEST_CASE("a reader that sends keepalives but no records is abandoned within the bound")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
-    DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
+    DirectoryView view(dialect, timing, 0, "own", "hall", 400, 0);
     const auto list = [&](DirectoryTopic topic, Micros now) {
         view.begin_listing(topic, now);
         view.end_listing(topic, 1, now, now);
@@ -129,21 +129,21 @@
 TEST_CASE("a configuration that is written again reaches a daemon that listed an older one")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
     const auto list = [](DirectoryView& view, const char* version, Offset end) {
         view.begin_listing(DirectoryTopic::Configuration, 0);
         view.apply_listed(DirectoryTopic::Configuration, {{"config", version}}, 0);
         view.end_listing(DirectoryTopic::Configuration, end, 0, 0);
     };
     // Version 7, then 3 written late, then 7 again.
-    DirectoryView reader(dialect, pace, 0, "reader", "hall", 400, 0);
+    DirectoryView reader(dialect, timing, 0, "reader", "hall", 400, 0);
     list(reader, "7", 1);
     reader.apply_page(DirectoryTopic::Configuration, 1, {{"config", "3"}}, 0, 0, 0);
-    DirectoryView fresh(dialect, pace, 0, "fresh", "hall", 400, 0);
+    DirectoryView fresh(dialect, timing, 0, "fresh", "hall", 400, 0);
     list(fresh, "3", 2);
     CHECK(fresh.fold().configuration()->version == 3);
     reader.apply_page(DirectoryTopic::Configuration, 2, {{"config", "7"}}, 0, 0, 0);
-    fresh.take_answer(reader.answer_to(fresh.query(), 0), 0, 0);
+    fresh.apply_answer(reader.answer_to(fresh.query(), 0), 0, 0);
     CHECK(fresh.fold().configuration()->version == 7);
 }
 
@@ -153,28 +153,28 @@
     "a configuration is applied even if another daemon's listing ends after its offset")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
     const auto list = [](DirectoryView& view, const char* version, Offset end) {
         view.begin_listing(DirectoryTopic::Configuration, 0);
         view.apply_listed(DirectoryTopic::Configuration, {{"config", version}}, 0);
         view.end_listing(DirectoryTopic::Configuration, end, 0, 0);
     };
     // Version 7 is at offset 0 and 11 at 1; then 3, written late, at 2.
-    DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
+    DirectoryView view(dialect, timing, 0, "own", "hall", 400, 0);
     list(view, "7", 1);
-    DirectoryView other(dialect, pace, 0, "other", "hall", 400, 0);
+    DirectoryView other(dialect, timing, 0, "other", "hall", 400, 0);
     list(other, "3", 3);
-    view.take_answer(other.answer_to(view.query(), 0), 0, 0);
+    view.apply_answer(other.answer_to(view.query(), 0), 0, 0);
     CHECK(view.fold().configuration()->version == 7);
     // The page was requested before the listing arrived.
     const DirectoryChange change
         = view.apply_page(DirectoryTopic::Configuration, 1, {{"config", "11"}}, 0, 0, 0);
     CHECK(view.fold().configuration()->version == 11);
-    CHECK(change.news);
+    CHECK(change.must_notify);
     CHECK(view.of(DirectoryTopic::Configuration).next == 3);
     // The next daemon that queries this one gets the newest version.
-    DirectoryView fresh(dialect, pace, 0, "fresh", "hall", 400, 0);
-    fresh.take_answer(view.answer_to(fresh.query(), 0), 0, 0);
+    DirectoryView fresh(dialect, timing, 0, "fresh", "hall", 400, 0);
+    fresh.apply_answer(view.answer_to(fresh.query(), 0), 0, 0);
     REQUIRE(fresh.fold().configuration());
     CHECK(fresh.fold().configuration()->version == 11);
 }
--- a/src/libcypressford/directory_view_timing.cpp
+++ b/src/libcypressford/directory_view_timing.cpp
@@ -89,14 +89,14 @@
         return m_daemons.source_for(m_hall);
     if (m_referral.role == DirectoryRole::Root)
         return {};
-    for (const DaemonRecord& daemon : m_referral.ask)
+    for (const DaemonRecord& daemon : m_referral.daemons)
         if (!m_daemons.is_suspected(daemon.peers_address))
             return {m_referral.role, daemon};
     return {DirectoryRole::Fresh, std::nullopt};
 }
 
 bool
-DirectoryView::wants_referral() const
+DirectoryView::needs_referral() const
 {
     return source().role == DirectoryRole::Fresh;
 }
@@ -106,12 +106,12 @@
 {
     m_referral = referral;
     m_peers_answer = true;
-    for (const DaemonRecord& daemon : referral.ask)
+    for (const DaemonRecord& daemon : referral.daemons)
         m_daemons.apply(daemon, now);
 }
 
 void
-DirectoryView::meet(const DaemonRecord& daemon, Micros now)
+DirectoryView::on_daemon_announced(const DaemonRecord& daemon, Micros now)
 {
     if (!m_daemons.apply(daemon, now))
         return;
@@ -146,7 +146,7 @@
 {
     const TopicView& view = of(topic);
     const DirectoryRole role = source().role;
-    if (role == DirectoryRole::Root || view.overdue)
+    if (role == DirectoryRole::Root || view.reader_lacks_records)
         return 0;
     const bool is_daemons = topic == DirectoryTopic::Daemons;
     if (is_daemons && (!m_own || m_is_peer))
@@ -168,7 +168,7 @@
 }
 
 Micros
-DirectoryView::known_at() const
+DirectoryView::required_topics_as_of() const
 {
     return std::min(of(DirectoryTopic::Configuration).as_of,
                     of(DirectoryTopic::Upstreams).as_of);
@@ -177,13 +177,14 @@
 bool
 DirectoryView::may_retry_reader(Micros answer_time, Micros now) const
 {
-    return !must_list() && now + answer_time < known_at() + max_age(source().role);
+    return !must_list()
+        && now + answer_time < required_topics_as_of() + max_age(source().role);
 }
 
 Micros
 DirectoryView::reader_deadline() const
 {
-    return known_at() + m_pace.bound;
+    return required_topics_as_of() + m_timing.bound;
 }
 
 Micros
@@ -196,7 +197,7 @@
     const DirectorySource from = source();
     const DirectoryRole role = from.role;
     if (from.daemon) {
-        if (view.overdue)
+        if (view.reader_lacks_records)
             return 0;
         const Micros stale = is_daemons ? kDaemonsStaleAfter : max_age(role);
         // An unavailable directory is not polled without a pause.
@@ -208,7 +209,7 @@
         return 0;
     const Micros interval
         = is_starting(now) ? kDaemonsInitialReadInterval : kDaemonsReadInterval;
-    return view.requested_at + (is_daemons ? interval : m_pace.read_interval) - now;
+    return view.requested_at + (is_daemons ? interval : m_timing.read_interval) - now;
 }
 
 Micros
@@ -248,7 +249,7 @@
 {
     const bool waits = topic == DirectoryTopic::Configuration && !is_starting(now)
         && source().role == DirectoryRole::Root && !of(topic).just_changed;
-    return waits ? m_pace.read_wait : 0;
+    return waits ? m_timing.read_wait : 0;
 }
 
 std::vector<DaemonRecord>
--- a/src/libcypressford/evacuation.cpp
+++ b/src/libcypressford/evacuation.cpp
@@ -16,8 +16,8 @@
         return false;
     known.at = at;
     known.valid_until.reset();
-    const bool changed = known.begun != record.begun;
-    known.begun = record.begun;
+    const bool changed = known.started != record.started;
+    known.started = record.started;
     return changed;
 }
 
@@ -40,13 +40,13 @@
 {
     bool changed = false;
     for (auto& [hall, known] : m_halls) {
-        if (!known.begun || known.listed || known.at >= end)
+        if (!known.started || known.listed || known.at >= end)
             continue;
         known.at = end - 1;
         known.valid_until = valid_until;
         if (valid_until)
             continue;
-        known.begun = false;
+        known.started = false;
         changed = true;
     }
     return changed;
@@ -60,7 +60,7 @@
         if (!known.valid_until || *known.valid_until > now)
             continue;
         known.valid_until.reset();
-        known.begun = false;
+        known.started = false;
         changed = true;
     }
     return changed;
@@ -78,7 +78,7 @@
 {
     std::vector<std::string> result;
     for (const auto& [hall, known] : m_halls)
-        if (known.begun)
+        if (known.started)
             result.push_back(hall);
     return result;
 }
--- a/src/libcypressford/evacuation_test.cpp
+++ b/src/libcypressford/evacuation_test.cpp
@@ -69,7 +69,7 @@
 
     DirectoryView make(const std::string& node)
     {
-        return {m_dialect, DirectoryPace(2 * kSecond, 1200 * kMillisecond),
+        return {m_dialect, DirectoryTiming(2 * kSecond, 1200 * kMillisecond),
                 0,         node,
                 "hall",    400,
                 0};
@@ -86,7 +86,8 @@
     static bool read(DirectoryView& view, Offset from,
                      const std::vector<DirectoryRecord>& records)
     {
-        return view.apply_page(DirectoryTopic::Configuration, from, records, 0, 0, 0).news;
+        return view.apply_page(DirectoryTopic::Configuration, from, records, 0, 0, 0)
+            .must_notify;
     }
 
     static Halls halls(DirectoryView& view) { return view.fold().evacuations().halls(); }
@@ -98,7 +99,7 @@
         query.cursors.resize(1);
         const auto answer = decode_feed_answer(encode(reader.answer_to(query, 0)));
         REQUIRE(answer);
-        follower.take_answer(*answer, 0, 0);
+        follower.apply_answer(*answer, 0, 0);
     }
 
     TextDialect m_dialect;
--- a/src/libcypressford/membership.cpp
+++ b/src/libcypressford/membership.cpp
@@ -10,7 +10,7 @@
 namespace cypressford {
 
 void
-Membership::beat(Micros now)
+Membership::advance_heartbeat(Micros now)
 {
     const Micros gap = m_last_beat < 0 ? 0 : now - m_last_beat;
     if (gap > m_options.suspect_after)
@@ -21,7 +21,7 @@
 }
 
 void
-Membership::hear(const MemberInfo& info, Micros now)
+Membership::on_member_info(const MemberInfo& info, Micros now)
 {
     if (info.address == m_self.address || info.address.empty())
         return;
@@ -55,7 +55,7 @@
     MemberInfo info = member.info;
     info.heartbeat = heartbeat;
     info.stopping = stopping;
-    hear(info, now);
+    on_member_info(info, now);
     return true;
 }
 
@@ -83,7 +83,7 @@
 }
 
 std::vector<std::string>
-Membership::others(Micros now) const
+Membership::other_members(Micros now) const
 {
     std::vector<std::string> result;
     for (const auto& [address, member] : m_members)
--- a/src/libcypressford/membership_test.cpp
+++ b/src/libcypressford/membership_test.cpp
@@ -24,39 +24,39 @@
     "an unresponsive member is suspected before it is considered dead, and may recover")
 {
     Membership view(info("a", 0), kOptions);
-    view.beat(0);
-    view.hear(info("b", 5), 0);
+    view.advance_heartbeat(0);
+    view.on_member_info(info("b", 5), 0);
     CHECK(view.state("b", 2 * kSecond) == MemberState::Alive);
     CHECK(view.state("b", 4 * kSecond) == MemberState::Suspect);
     CHECK(view.serving_count(4 * kSecond) == 1);
-    CHECK(view.others(4 * kSecond).size() == 1);
+    CHECK(view.other_members(4 * kSecond).size() == 1);
     // An old heartbeat that a peer passes on is not a keepalive.
-    view.hear(info("b", 5), 5 * kSecond);
+    view.on_member_info(info("b", 5), 5 * kSecond);
     CHECK(view.state("b", 5 * kSecond) == MemberState::Suspect);
     // The member was only suspended.
-    view.hear(info("b", 6), 8 * kSecond);
+    view.on_member_info(info("b", 6), 8 * kSecond);
     CHECK(view.state("b", 8 * kSecond) == MemberState::Alive);
     CHECK(view.state("b", 24 * kSecond) == MemberState::Dead);
-    CHECK(view.others(24 * kSecond).empty());
+    CHECK(view.other_members(24 * kSecond).empty());
 }
 
 TEST_CASE("a process that was suspended itself does not consider the others dead")
 {
     Membership view(info("a", 0), kOptions);
-    view.beat(0);
-    view.hear(info("b", 5), 0);
-    view.beat(kSecond);
-    view.beat(61 * kSecond);
+    view.advance_heartbeat(0);
+    view.on_member_info(info("b", 5), 0);
+    view.advance_heartbeat(kSecond);
+    view.advance_heartbeat(61 * kSecond);
     CHECK(view.state("b", 61 * kSecond) == MemberState::Alive);
 }
 
 TEST_CASE("a later process replaces an earlier one, never the reverse")
 {
     Membership view(info("a", 0), kOptions);
-    view.beat(0);
-    view.hear(info("b", 900, 1, 100), 0);
-    view.hear(info("b", 1, 2, 200), kSecond);
-    view.hear(info("b", 901, 1, 100), 2 * kSecond);
+    view.advance_heartbeat(0);
+    view.on_member_info(info("b", 900, 1, 100), 0);
+    view.on_member_info(info("b", 1, 2, 200), kSecond);
+    view.on_member_info(info("b", 901, 1, 100), 2 * kSecond);
     CHECK(view.all(2 * kSecond).at(1).incarnation == 2);
     CHECK(view.state("b", kSecond + 3 * kSecond) == MemberState::Suspect);
 }
@@ -64,14 +64,14 @@
 TEST_CASE("a keepalive applies only to the process that it names")
 {
     Membership view(info("a", 0), kOptions);
-    view.beat(0);
+    view.advance_heartbeat(0);
     const MemberInfo first = info("b", 1, 1, 100);
     CHECK_FALSE(view.on_keepalive(Membership::id_of(first), 2, false, 0));
-    view.hear(first, 0);
+    view.on_member_info(first, 0);
     CHECK(view.on_keepalive(Membership::id_of(first), 2, true, 2 * kSecond));
     CHECK(view.state("b", 4 * kSecond) == MemberState::Alive);
     CHECK(view.serving_count(4 * kSecond) == 1);
-    view.hear(info("b", 1, 2, 200), 4 * kSecond);
+    view.on_member_info(info("b", 1, 2, 200), 4 * kSecond);
     CHECK(view.serving_count(4 * kSecond) == 2);
     // Late keepalives of the replaced process change nothing.
     CHECK(view.on_keepalive(Membership::id_of(first), 9, true, 5 * kSecond));
@@ -85,9 +85,9 @@
     const std::vector<std::string> names {"a", "b", "c", "d", "e"};
     for (const auto& self : names) {
         views.emplace_back(info(self, 0), kOptions);
-        views.back().beat(0);
+        views.back().advance_heartbeat(0);
         for (const auto& other : names)
-            views.back().hear(info(other, 1), 0);
+            views.back().on_member_info(info(other, 1), 0);
     }
     for (int task = 0; task < 50; ++task) {
         const std::string name = "task" + std::to_string(task);
@@ -105,10 +105,10 @@
             if (i == first)
                 continue;
             Membership later = views[i];
-            later.beat(2 * kSecond);
+            later.advance_heartbeat(2 * kSecond);
             for (const auto& other : names)
                 if (other != names[first])
-                    later.hear(info(other, 2), 4 * kSecond);
+                    later.on_member_info(info(other, 2), 4 * kSecond);
             successors += later.is_chosen(name, 1, 4 * kSecond);
         }
         CHECK(successors == 1);
--- a/src/libcypressford/mix.h
+++ b/src/libcypressford/mix.h
@@ -21,7 +21,7 @@
 
 /// Maps seeds to numbers in [0, 1) that are evenly distributed.
 inline double
-spread(std::uint64_t seed)
+uniform_from(std::uint64_t seed)
 {
     constexpr int kept_bits = 53;
     return static_cast<double>(mix(seed + 0x9e3779b97f4a7c15ULL) >> (64 - kept_bits))
--- a/src/libcypressford/piece_order.cpp
+++ b/src/libcypressford/piece_order.cpp
@@ -140,12 +140,12 @@
 void
 write_limits(const LimitReports& limits, Message& out)
 {
-    for (const LimitWord& word : limits) {
+    for (const LimitReport& report : limits) {
         proto::LimitWord* item = out.add_limits();
-        item->set_identity(word.run.identity);
-        item->set_born(word.run.born);
-        item->set_per_s(word.per_s);
-        item->set_ago_us(word.ago);
+        item->set_identity(report.run.identity);
+        item->set_born(report.run.born);
+        item->set_per_s(report.per_s);
+        item->set_ago_us(report.ago);
     }
 }
 
--- a/src/libcypressford/piece_queue.cpp
+++ b/src/libcypressford/piece_queue.cpp
@@ -318,8 +318,8 @@
     double sum = 0;
     for (const auto* side : {&set.own, &set.remote})
         for (const auto& upstream : *side) {
-            const SharedRate& limit = upstream->said->limit();
-            if (!is_in_service(*upstream, now) || upstream->said->rests(now))
+            const SharedRate& limit = upstream->self_report->limit();
+            if (!is_in_service(*upstream, now) || upstream->self_report->in_backoff(now))
                 continue;
             sum += limit.is_set() ? std::min(1.0, limit.rate_of(RatePart::Granted) * call_s)
                                   : 1.0;
--- a/src/libcypressford/prompt_placer.cpp
+++ b/src/libcypressford/prompt_placer.cpp
@@ -211,7 +211,7 @@
         // prompts go to the other engines.
         if (upstream->cold.is_cold(now) && !upstream->cold.may_grant(now))
             continue;
-        if (upstream->said->limit().next_allowed_at(RatePart::Granted) > now)
+        if (upstream->self_report->limit().next_allowed_at(RatePart::Granted) > now)
             continue;
         const bool is_near = keeps_near && upstream->hall == query.near;
         const bool is_avoided = m_switches.uses(Mechanism::SharedReach)
@@ -263,7 +263,7 @@
     if (query.reserve) {
         if (best->upstream->cold.is_cold(now))
             best->upstream->cold.take_grant(now);
-        best->upstream->said->limit().take(RatePart::Granted, now);
+        best->upstream->self_report->limit().take(RatePart::Granted, now);
         reserve(*best->upstream, set, query, now);
     }
     return best->upstream;
--- a/src/libcypressford/relay_test.cpp
+++ b/src/libcypressford/relay_test.cpp
@@ -61,7 +61,7 @@
         RequestSpec spec;
         spec.id = id;
         spec.snapshot = snapshot;
-        spec.account = snapshot->bundle->nobody;
+        spec.account = snapshot->bundle->anonymous_account;
         spec.deadline = deadline;
         spec.pieces = std::move(pieces);
         spec.asks_leader = asks_leader;
@@ -403,7 +403,7 @@
     RelayFixture fixture;
     fixture.publish(pipeline(true), true);
     fixture.arrive(1, 4 * kSecond, {2});
-    CHECK_FALSE(fixture.find<BeginPreparation>()->again);
+    CHECK_FALSE(fixture.find<BeginPreparation>()->is_retry);
     fixture.handle(PreparationEnded {1, true, "a", ""});
     const AttemptId first = fixture.find<SendAttempt>()->attempt;
     CHECK_FALSE(fixture.find<ReleaseInputs>());
@@ -415,7 +415,7 @@
     fixture.handle(AttemptEnded {first, AttemptStatus::Lost});
     CHECK_FALSE(fixture.find<SendAttempt>());
     REQUIRE(fixture.find<BeginPreparation>());
-    CHECK(fixture.find<BeginPreparation>()->again);
+    CHECK(fixture.find<BeginPreparation>()->is_retry);
     CHECK(fixture.find<BeginPreparation>()->deadline == 4 * kSecond);
     fixture.handle(PreparationEnded {1, true, "a", ""});
     CHECK(fixture.find<SendAttempt>());
--- a/src/libcypressford/rest_load_test.cpp
+++ b/src/libcypressford/rest_load_test.cpp
@@ -115,11 +115,11 @@
 
     void begin(const SendAttempt& send)
     {
-        SelfReport& said = *send.upstream->said;
-        m_outcome.calls_in_backoff += said.rests(m_fleet.now) ? 1 : 0;
+        SelfReport& self_report = *send.upstream->self_report;
+        m_outcome.calls_in_backoff += self_report.in_backoff(m_fleet.now) ? 1 : 0;
         const bool sheds = m_fleet.now >= kShedFrom && m_fleet.now < kShedUntil;
         if (sheds)
-            said.note_rest(m_fleet.now + kBackoff);
+            self_report.record_backoff(m_fleet.now + kBackoff);
         m_calls.push_back({send, m_fleet.now + (sheds ? kStep : kServiceTime),
                            sheds ? AttemptStatus::Overloaded : AttemptStatus::Ok});
     }
--- a/src/libcypressford/restart_test.cpp
+++ b/src/libcypressford/restart_test.cpp
@@ -23,7 +23,7 @@
 
 UpstreamRecord
 record_of(std::uint64_t sequence, std::int64_t born, bool leaving = false,
-          Micros cold_left = 0)
+          Micros remaining_cold_time = 0)
 {
     UpstreamRecord record;
     record.member.identity = "i";
@@ -33,7 +33,7 @@
     record.member.born = born;
     record.member.leaving = leaving;
     record.sequence = sequence;
-    record.cold_left = cold_left;
+    record.remaining_cold_time = remaining_cold_time;
     return record;
 }
 
@@ -138,9 +138,9 @@
 TEST_CASE("daemons that follow a reader receive a new run")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
     const auto fresh = [&] {
-        DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
+        DirectoryView view(dialect, timing, 0, "own", "hall", 400, 0);
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
             if (topic == DirectoryTopic::Upstreams)
@@ -153,7 +153,7 @@
     DirectoryView follower = fresh();
     reader.apply_page(DirectoryTopic::Upstreams, 0, {{"a", "8@100"}, {"a", "1@200"}}, 0, 0,
                       0);
-    follower.take_answer(reader.answer_to(follower.query(), 0), 0, 0);
+    follower.apply_answer(reader.answer_to(follower.query(), 0), 0, 0);
     for (DirectoryView* view : {&reader, &follower}) {
         REQUIRE(view->fold().members().size() == 1);
         CHECK(view->fold().members().front().born == 200);
@@ -163,14 +163,14 @@
 TEST_CASE("an unreadable record removes no upstream and does not block its page")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
-    DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
+    DirectoryView view(dialect, timing, 0, "own", "hall", 400, 0);
     view.begin_listing(DirectoryTopic::Upstreams, 0);
     view.apply_listed(DirectoryTopic::Upstreams, {{"a", "1"}, {"b", "1"}}, 0);
     view.end_listing(DirectoryTopic::Upstreams, 2, 0, 0);
     const DirectoryChange change = view.apply_page(
         DirectoryTopic::Upstreams, 2, {{"a", "?"}, {"c", "?"}, {"d", "1"}}, 0, 0, 0);
-    CHECK(change.unread.size() == 2);
+    CHECK(change.invalid.size() == 2);
     CHECK(view.fold().members().size() == 3);
     // A listing with an unreadable record in place of the upstream's does not remove it
     // either.
--- a/src/libcypressford/restored_log_test.cpp
+++ b/src/libcypressford/restored_log_test.cpp
@@ -25,8 +25,8 @@
 DirectoryView
 view_of(const DirectoryDialect& dialect, const std::string& node)
 {
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
-    return {dialect, pace, kGracePeriod, node, "hall", 400, 0};
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
+    return {dialect, timing, kGracePeriod, node, "hall", 400, 0};
 }
 
 void
@@ -58,7 +58,7 @@
     reader.receive_generation(query.generation, now);
     const FeedAnswer answer = reader.answer_to(query, now);
     requester.receive_generation(answer.generation, now);
-    requester.take_answer(answer, now, now);
+    requester.apply_answer(answer, now, now);
 }
 
 std::uint64_t
@@ -114,7 +114,7 @@
     follower.record_generation(kAfter, 0);
     const FeedAnswer outdated = reader.answer_to(follower.query(), 0);
     CHECK(outdated.generation == kBefore);
-    follower.take_answer(outdated, 0, 0);
+    follower.apply_answer(outdated, 0, 0);
     CHECK_FALSE(follower.of(DirectoryTopic::Configuration).next);
     query_reader(follower, reader);
     CHECK_FALSE(reader.of(DirectoryTopic::Configuration).next);
@@ -134,7 +134,7 @@
     const auto query_as_earlier_version = [&] {
         FeedQuery query = follower.query();
         query.generation = 0;
-        follower.take_answer(reader.answer_to(query, 0), 0, 0);
+        follower.apply_answer(reader.answer_to(query, 0), 0, 0);
     };
     query_as_earlier_version();
     CHECK(version_of(follower) == 22);
--- a/src/libcypressford/scheduler_routing.cpp
+++ b/src/libcypressford/scheduler_routing.cpp
@@ -193,7 +193,7 @@
     begin.target_by
         = request.arrived + target - request.pipeline().state->first_byte.load();
     begin.follows_prompt = follows_prompt(request);
-    begin.again = request.prepared_before;
+    begin.is_retry = request.prepared_before;
     if (!begin.follows_prompt)
         begin.near = choose_hall(*request.spec.snapshot, request.pipeline(),
                                  request.spec.pieces, random(), now);
--- a/src/libcypressford/self_report.cpp
+++ b/src/libcypressford/self_report.cpp
@@ -47,7 +47,7 @@
 }
 
 void
-SelfReport::note_rest(Micros until, std::int64_t connected_ms)
+SelfReport::record_backoff(Micros until, std::int64_t connected_ms)
 {
     m_backoff_connected_ms.store(connected_ms, std::memory_order_relaxed);
     Micros known = backoff_until();
@@ -68,7 +68,7 @@
     const std::int64_t backoff_connected_ms
         = before.m_backoff_connected_ms.load(std::memory_order_relaxed);
     if (may_belong_to_run(backoff_connected_ms, born))
-        note_rest(before.backoff_until(), backoff_connected_ms);
+        record_backoff(before.backoff_until(), backoff_connected_ms);
     const std::int64_t limit_connected_ms
         = before.m_limit_connected_ms.load(std::memory_order_relaxed);
     if (!may_belong_to_run(limit_connected_ms, born))
@@ -116,7 +116,7 @@
 }
 
 bool
-SelfReport::apply_limit_report(const LimitWord& report, Micros now)
+SelfReport::apply_limit_report(const LimitReport& report, Micros now)
 {
     const double before = m_limit.per_s();
     const Micros at = now - report.ago;
@@ -132,15 +132,15 @@
     return m_limit.per_s() != before;
 }
 
-std::optional<LimitWord>
-SelfReport::word(const UpstreamRun& run, Micros now) const
+std::optional<LimitReport>
+SelfReport::limit_report(const UpstreamRun& run, Micros now) const
 {
     if (const double per_s = m_limit.per_s(); per_s > 0)
-        return LimitWord {run, per_s,
-                          now - m_limit_received_at.load(std::memory_order_relaxed)};
+        return LimitReport {run, per_s,
+                            now - m_limit_received_at.load(std::memory_order_relaxed)};
     const Micros ended_at = m_limit_ended_at.load(std::memory_order_relaxed);
     if (ended_at != 0 && now - ended_at < kEndReportTime)
-        return LimitWord {run, 0, now - ended_at};
+        return LimitReport {run, 0, now - ended_at};
     return std::nullopt;
 }
 
--- a/src/libcypressford/self_report_test.cpp
+++ b/src/libcypressford/self_report_test.cpp
@@ -26,12 +26,12 @@
 TEST_CASE("of several backoffs that a run requests, the latest end applies")
 {
     SelfReport report;
-    CHECK_FALSE(report.rests(0));
-    report.note_rest(kBackoff);
-    report.note_rest(kSecond);
-    CHECK(report.rests(kBackoff - 1));
-    CHECK_FALSE(report.rests(kBackoff));
-    CHECK_FALSE(report.leaves());
+    CHECK_FALSE(report.in_backoff(0));
+    report.record_backoff(kBackoff);
+    report.record_backoff(kSecond);
+    CHECK(report.in_backoff(kBackoff - 1));
+    CHECK_FALSE(report.in_backoff(kBackoff));
+    CHECK_FALSE(report.is_leaving());
 }
 
 TEST_CASE("a self-report outlasts the run's entry and ends with the run")
@@ -46,18 +46,18 @@
         return result;
     };
     const auto first = table.build(bundle, {member(1)})->sets[0].own[0];
-    first->said->record_leaving();
+    first->self_report->record_leaving();
     table.build(bundle, {});
     const auto back = table.build(bundle, {member(1)})->sets[0].own[0];
     CHECK(back->is_leaving(0));
     CHECK_FALSE(is_usable(*back, 0));
     // The answer to a call that outlasted the entry applies as well.
     table.build(bundle, {});
-    first->said->note_rest(kBackoff);
-    CHECK(table.build(bundle, {member(1)})->sets[0].own[0]->said->rests(0));
+    first->self_report->record_backoff(kBackoff);
+    CHECK(table.build(bundle, {member(1)})->sets[0].own[0]->self_report->in_backoff(0));
     const auto next = table.build(bundle, {member(2)})->sets[0].own[0];
     CHECK_FALSE(next->is_leaving(0));
-    CHECK_FALSE(next->said->rests(0));
+    CHECK_FALSE(next->self_report->in_backoff(0));
 }
 
 /// Guards against a call to a restarted upstream 1.7 s after it reported that it is
@@ -78,7 +78,7 @@
         CHECK(next->may_be_leaving(received_at + 1) == (connected > born));
         // A run that was drained and restarted in place is not excluded permanently.
         CHECK_FALSE(next->may_be_leaving(received_at + SelfReport::kMayBeLeavingTime));
-        CHECK_FALSE(next->leaves());
+        CHECK_FALSE(next->is_leaving());
         next->record_leaving(received_at, born + 100);
         CHECK(next->may_be_leaving(received_at + SelfReport::kMayBeLeavingTime));
     }
@@ -92,10 +92,10 @@
     constexpr std::int64_t born = 1'000'000;
     for (const std::int64_t connected : {born + 50, born - 1000, born - 60'000}) {
         SelfReports reports;
-        reports.of({"i1", born - 90'000})->note_rest(kBackoff, connected);
-        reports.of({"i0", born})->note_rest(kBackoff, connected);
-        CHECK(reports.of({"i1", born})->rests(0) == (connected > born - 2000));
-        CHECK_FALSE(reports.of({"i2", born})->rests(0));
+        reports.of({"i1", born - 90'000})->record_backoff(kBackoff, connected);
+        reports.of({"i0", born})->record_backoff(kBackoff, connected);
+        CHECK(reports.of({"i1", born})->in_backoff(0) == (connected > born - 2000));
+        CHECK_FALSE(reports.of({"i2", born})->in_backoff(0));
     }
 }
 
@@ -112,8 +112,8 @@
         reports.of(run);
         reports.unlist(run);
     }
-    CHECK(reports.of({"stays", 1})->leaves());
-    CHECK_FALSE(reports.of({"goes", 1})->leaves());
+    CHECK(reports.of({"stays", 1})->is_leaving());
+    CHECK_FALSE(reports.of({"goes", 1})->is_leaving());
 }
 
 TEST_CASE("an upstream that is leaving or in backoff gets no requests, the other gets all")
@@ -121,13 +121,13 @@
     for (const bool leaves : {false, true}) {
         Fleet fleet;
         if (leaves)
-            fleet.ia->said->record_leaving();
+            fleet.ia->self_report->record_leaving();
         else
-            fleet.ia->said->note_rest(kBackoff);
+            fleet.ia->self_report->record_backoff(kBackoff);
         for (int i = 0; i < 4; ++i)
             CHECK(fleet.arrive() == fleet.ib.get());
         fleet.now = kBackoff;
-        fleet.ib->said->note_rest(2 * kBackoff);
+        fleet.ib->self_report->record_backoff(2 * kBackoff);
         CHECK(fleet.arrive() == (leaves ? nullptr : fleet.ia.get()));
     }
 }
@@ -135,10 +135,10 @@
 TEST_CASE("a call withheld by a later report goes elsewhere and costs no retry budget")
 {
     Fleet fleet;
-    fleet.ib->said->note_rest(kBackoff);
+    fleet.ib->self_report->record_backoff(kBackoff);
     REQUIRE(fleet.arrive() == fleet.ia.get());
     const AttemptId attempt = fleet.find<SendAttempt>()->attempt;
-    fleet.ia->said->record_leaving();
+    fleet.ia->self_report->record_leaving();
     CHECK_FALSE(begin_call(*fleet.ia, CallCount::Own, fleet.now));
     fleet.now = kBackoff;
     fleet.handle(AttemptEnded {attempt, AttemptStatus::Withheld});
@@ -152,8 +152,8 @@
 TEST_CASE("if all are in backoff, requests wait within their deadline or get a retry time")
 {
     Fleet fleet;
-    fleet.ia->said->note_rest(kBackoff);
-    fleet.ib->said->note_rest(2 * kBackoff);
+    fleet.ia->self_report->record_backoff(kBackoff);
+    fleet.ib->self_report->record_backoff(2 * kBackoff);
     // The deadline is 10 s away and there is no other target.
     CHECK(fleet.arrive() == nullptr);
     CHECK_FALSE(fleet.find<Reply>());
@@ -165,8 +165,8 @@
     REQUIRE(fleet.find<SendAttempt>());
     CHECK(fleet.find<SendAttempt>()->upstream == fleet.ia);
 
-    fleet.ia->said->note_rest(fleet.now + 13 * kSecond);
-    fleet.ib->said->note_rest(fleet.now + 14 * kSecond);
+    fleet.ia->self_report->record_backoff(fleet.now + 13 * kSecond);
+    fleet.ib->self_report->record_backoff(fleet.now + 14 * kSecond);
     fleet.now += kSecond;
     CHECK(fleet.arrive() == nullptr);
     const auto* reply = fleet.find<Reply>();
@@ -180,12 +180,12 @@
 TEST_CASE("a request waiting for a backoff is refused once it would be served too late")
 {
     Fleet fleet;
-    fleet.ia->said->note_rest(kBackoff);
-    fleet.ib->said->note_rest(kBackoff);
+    fleet.ia->self_report->record_backoff(kBackoff);
+    fleet.ib->self_report->record_backoff(kBackoff);
     CHECK(fleet.arrive() == nullptr);
     fleet.now = kSecond;
-    fleet.ia->said->note_rest(20 * kSecond);
-    fleet.ib->said->note_rest(20 * kSecond);
+    fleet.ia->self_report->record_backoff(20 * kSecond);
+    fleet.ib->self_report->record_backoff(20 * kSecond);
     fleet.handle(Tick {});
     const auto* reply = fleet.find<Reply>();
     REQUIRE(reply);
@@ -200,14 +200,14 @@
     PromptPlacer placer;
     PromptQuery query;
     query.attempt = "1";
-    fleet.ia->said->note_rest(kBackoff);
+    fleet.ia->self_report->record_backoff(kBackoff);
     query.avoid = {"ib"};
     CHECK(placer.place(set, query, 0) == fleet.ia);
     query.avoid = {"ia", "ib"};
     CHECK(placer.place(set, query, 0) == nullptr);
     // An upstream that is leaving is avoided by all.
     query.avoid = {};
-    fleet.ib->said->record_leaving();
+    fleet.ib->self_report->record_leaving();
     CHECK(placer.place(set, query, 0) == fleet.ia);
 }
 
@@ -221,8 +221,8 @@
     piece.id = piece.group = 1;
     piece.due = piece.deadline = 10 * kSecond;
     queue.add(piece);
-    fleet.ia->said->note_rest(kBackoff);
-    fleet.ib->said->record_leaving();
+    fleet.ia->self_report->record_backoff(kBackoff);
+    fleet.ib->self_report->record_leaving();
     CHECK_FALSE(queue.next_call(set, 0));
     CHECK(queue.expected_wait(set, 0, 0) >= kBackoff);
     const auto call = queue.next_call(set, kBackoff);
--- a/src/libcypressford/shared_rate.cpp
+++ b/src/libcypressford/shared_rate.cpp
@@ -49,7 +49,7 @@
 PartPacer::next_allowed_after(Micros last, double interval_us) const
 {
     const double part
-        = kShortestInterval + spread(m_seed ^ static_cast<std::uint64_t>(last));
+        = kShortestInterval + uniform_from(m_seed ^ static_cast<std::uint64_t>(last));
     return last + static_cast<Micros>(part * interval_us);
 }
 
--- a/src/libcypressford/shared_rate_test.cpp
+++ b/src/libcypressford/shared_rate_test.cpp
@@ -125,41 +125,41 @@
 
 TEST_CASE("a limit holds until a call that was sent after it finds none")
 {
-    SelfReport said;
-    CHECK(said.record_limit(5.0, 1, 100));
-    CHECK(said.limit().per_s() == 5);
+    SelfReport self_report;
+    CHECK(self_report.record_limit(5.0, 1, 100));
+    CHECK(self_report.limit().per_s() == 5);
     // The answer to a call that was sent earlier arrives later.
-    CHECK_FALSE(said.record_limit({}, 99, 200));
-    CHECK(said.limit().is_set());
-    CHECK_FALSE(said.record_limit(7.0, 99, 201));
-    CHECK(said.limit().per_s() == 5);
-    CHECK(said.record_limit(7.0, 202, 210));
-    CHECK(said.limit().per_s() == 7);
-    CHECK(said.record_limit({}, 211, 220));
-    CHECK_FALSE(said.limit().is_set());
+    CHECK_FALSE(self_report.record_limit({}, 99, 200));
+    CHECK(self_report.limit().is_set());
+    CHECK_FALSE(self_report.record_limit(7.0, 99, 201));
+    CHECK(self_report.limit().per_s() == 5);
+    CHECK(self_report.record_limit(7.0, 202, 210));
+    CHECK(self_report.limit().per_s() == 7);
+    CHECK(self_report.record_limit({}, 211, 220));
+    CHECK_FALSE(self_report.limit().is_set());
 }
 
 TEST_CASE(
     "a limit of zero still allows calls that find its end; an excessive one is ignored")
 {
-    SelfReport said;
-    said.record_limit(0.0, 1, 2);
-    CHECK(said.limit().per_s() == SelfReport::kMinLimitPerS);
-    said.record_limit(1e-300, 3, 4);
-    CHECK(said.limit().per_s() == SelfReport::kMinLimitPerS);
-    said.record_limit(1e300, 5, 6);
-    CHECK_FALSE(said.limit().is_set());
-    CHECK(said.record_unreadable_limit());
-    CHECK_FALSE(said.record_unreadable_limit());
+    SelfReport self_report;
+    self_report.record_limit(0.0, 1, 2);
+    CHECK(self_report.limit().per_s() == SelfReport::kMinLimitPerS);
+    self_report.record_limit(1e-300, 3, 4);
+    CHECK(self_report.limit().per_s() == SelfReport::kMinLimitPerS);
+    self_report.record_limit(1e300, 5, 6);
+    CHECK_FALSE(self_report.limit().is_set());
+    CHECK(self_report.record_unreadable_limit());
+    CHECK_FALSE(self_report.record_unreadable_limit());
 }
 
 TEST_CASE("limits that change with each answer let no more through than the highest")
 {
-    SelfReport said;
+    SelfReport self_report;
     std::vector<Micros> sent;
     for (Micros now = 1; now < 20 * kSecond; now += 10 * kMillisecond) {
-        said.record_limit(now / 10 % 2 == 0 ? 1.0 : 2.0, now - 1, now);
-        if (said.limit().take(RatePart::Own, now))
+        self_report.record_limit(now / 10 % 2 == 0 ? 1.0 : 2.0, now - 1, now);
+        if (self_report.limit().take(RatePart::Own, now))
             sent.push_back(now);
     }
     CHECK(sent.size() > 10);
@@ -172,22 +172,23 @@
     SelfReport leader;
     SelfReport daemon;
     daemon.record_limit(3.0, 1, kSecond);
-    CHECK(leader.apply_limit_report(*daemon.word(run, kSecond), kSecond));
+    CHECK(leader.apply_limit_report(*daemon.limit_report(run, kSecond), kSecond));
     CHECK(leader.limit().per_s() == 3);
     // Another daemon finds that the limit has ended.
     SelfReport other;
     other.record_limit(3.0, 1, kSecond);
     other.record_limit({}, 2 * kSecond, 2 * kSecond + 1);
-    CHECK(leader.apply_limit_report(*other.word(run, 3 * kSecond), 3 * kSecond));
+    CHECK(leader.apply_limit_report(*other.limit_report(run, 3 * kSecond), 3 * kSecond));
     CHECK_FALSE(leader.limit().is_set());
     // The first daemon has received nothing since.
-    CHECK_FALSE(leader.apply_limit_report(*daemon.word(run, 4 * kSecond), 4 * kSecond));
-    CHECK(daemon.apply_limit_report(*leader.word(run, 4 * kSecond), 4 * kSecond));
+    CHECK_FALSE(
+        leader.apply_limit_report(*daemon.limit_report(run, 4 * kSecond), 4 * kSecond));
+    CHECK(daemon.apply_limit_report(*leader.limit_report(run, 4 * kSecond), 4 * kSecond));
     CHECK_FALSE(daemon.limit().is_set());
-    CHECK_FALSE(leader.word(run, 4 * kSecond + SelfReport::kEndReportTime));
+    CHECK_FALSE(leader.limit_report(run, 4 * kSecond + SelfReport::kEndReportTime));
     // The upstream announces a limit again.
     other.record_limit(2.0, 5 * kSecond, 5 * kSecond);
-    CHECK(leader.apply_limit_report(*other.word(run, 5 * kSecond), 5 * kSecond));
+    CHECK(leader.apply_limit_report(*other.limit_report(run, 5 * kSecond), 5 * kSecond));
     CHECK(leader.limit().per_s() == 2);
 }
 
@@ -210,21 +211,21 @@
 {
     Fleet fleet;
     UpstreamState& ia = *fleet.ia;
-    ia.said->record_limit(1.0, 0, 1);
-    const Micros next_allowed = ia.said->limit().next_allowed_at(RatePart::Own);
+    ia.self_report->record_limit(1.0, 0, 1);
+    const Micros next_allowed = ia.self_report->limit().next_allowed_at(RatePart::Own);
     CHECK_FALSE(begin_call(ia, CallCount::Own, next_allowed - 1));
     CHECK(begin_call(ia, CallCount::Own, next_allowed));
     CHECK_FALSE(begin_call(ia, CallCount::Own, next_allowed));
     // The leader counted the call when it granted it.
     CHECK(begin_call(ia, CallCount::Counted, next_allowed));
-    ia.said->record_leaving();
+    ia.self_report->record_leaving();
     CHECK_FALSE(begin_call(ia, CallCount::Counted, next_allowed));
 }
 
 TEST_CASE("requests beyond an upstream's limit go to other upstreams")
 {
     Fleet fleet;
-    fleet.ia->said->record_limit(1.0, 0, 1);
+    fleet.ia->self_report->record_limit(1.0, 0, 1);
     fleet.now = 1;
     int at_limited = 0;
     for (int i = 0; i < 40; ++i) {
@@ -248,14 +249,15 @@
     FleetSpec spec;
     spec.target_latency = 2 * kSecond;
     Fleet fleet(spec);
-    fleet.ib->said->record_leaving();
-    fleet.ia->said->record_limit(10.0, 0, 1);
+    fleet.ib->self_report->record_leaving();
+    fleet.ia->self_report->record_limit(10.0, 0, 1);
     fleet.now = 2;
     REQUIRE(fleet.arrive() == nullptr);
     REQUIRE_FALSE(fleet.find<Reply>());
     // Its send slot comes later than expected.
-    fleet.ia->said->record_limit(0.2, 3, 4);
-    const Micros next_allowed = fleet.ia->said->limit().next_allowed_at(RatePart::Own);
+    fleet.ia->self_report->record_limit(0.2, 3, 4);
+    const Micros next_allowed
+        = fleet.ia->self_report->limit().next_allowed_at(RatePart::Own);
     REQUIRE(next_allowed > spec.target_latency);
     fleet.now = next_allowed - 100 * kMillisecond;
     fleet.handle(Tick {});
@@ -274,8 +276,8 @@
 {
     Fleet fleet;
     const UpstreamSet& set = fleet.snapshot->sets[0];
-    fleet.ia->said->record_limit(2.0, 0, 1);
-    fleet.ib->said->record_leaving();
+    fleet.ia->self_report->record_limit(2.0, 0, 1);
+    fleet.ib->self_report->record_leaving();
     PromptPlacer placer;
     std::vector<Micros> placed;
     for (Micros now = 1; now < 20 * kSecond; now += 50 * kMillisecond) {
@@ -296,8 +298,8 @@
     Fleet fleet;
     UpstreamSet set = fleet.snapshot->sets[0];
     set.spec.batch = BatchSpec {8, 2, 150 * kMillisecond, 16 * kMillisecond, 0, 0};
-    fleet.ia->said->record_limit(1.0, 0, 1);
-    fleet.ib->said->record_leaving();
+    fleet.ia->self_report->record_limit(1.0, 0, 1);
+    fleet.ib->self_report->record_leaving();
     PieceQueue queue;
     for (PieceId id = 1; id <= 80; ++id) {
         WaitingPiece piece;
--- a/src/libcypressford/suspects_test.cpp
+++ b/src/libcypressford/suspects_test.cpp
@@ -231,9 +231,9 @@
 TEST_CASE("followers receive ends from their reader, and new daemons from a listing")
 {
     TextDialect dialect;
-    const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+    const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
     const auto fresh = [&] {
-        DirectoryView view(dialect, pace, 0, "own", "hall", 400, 0);
+        DirectoryView view(dialect, timing, 0, "own", "hall", 400, 0);
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
             view.begin_listing(topic, 0);
             view.end_listing(topic, 0, 0, 0);
@@ -250,11 +250,11 @@
     records.push_back({"bad", "\xff\xff no record", 3});
     const DirectoryChange change
         = reader.apply_page(DirectoryTopic::Suspects, 0, records, 0, 0, 0);
-    CHECK(change.news);
-    CHECK(change.unread.size() == 1);
+    CHECK(change.must_notify);
+    CHECK(change.invalid.size() == 1);
     CHECK(reader.suspects().view()->is_quarantined(digest(1)));
     CHECK(reader.must_answer(follower.query()));
-    follower.take_answer(reader.answer_to(follower.query(), 0), 0, 0);
+    follower.apply_answer(reader.answer_to(follower.query(), 0), 0, 0);
     CHECK(follower.suspects().view()->is_quarantined(digest(1)));
     DirectoryView late = fresh();
     late.begin_listing(DirectoryTopic::Suspects, 0);
--- a/src/libcypressford/test_starting_fleet.h
+++ b/src/libcypressford/test_starting_fleet.h
@@ -196,9 +196,9 @@
             m_daemons.resize(m_records.size());
         const DaemonRecord& own = m_records[i];
         m_daemons[i].started_at = m_time.now;
-        const DirectoryPace pace(5 * kSecond, 5 * kSecond);
+        const DirectoryTiming timing(5 * kSecond, 5 * kSecond);
         m_daemons[i].view = std::make_unique<DirectoryView>(
-            m_dialect, pace, kSecond, own.node, own.hall, 3200, m_time.now);
+            m_dialect, timing, kSecond, own.node, own.hall, 3200, m_time.now);
         if (m_has_peers)
             m_daemons[i].view->expect_referral(own, i < kPeers);
         step(i);
@@ -225,7 +225,7 @@
             if (!daemon.reading.at(static_cast<std::size_t>(topic))
                 && daemon.view->time_until_read(topic, m_time.now) <= 0)
                 read(i, topic);
-        if (!daemon.querying && m_has_peers && daemon.view->wants_referral())
+        if (!daemon.querying && m_has_peers && daemon.view->needs_referral())
             request_referral(i);
         const DirectorySource from = daemon.view->source();
         if (!daemon.querying && from.daemon)
@@ -292,7 +292,7 @@
         if (peer >= m_daemons.size() || !m_daemons[peer].view)
             return;
         daemon.querying = true;
-        m_daemons[peer].view->meet(m_records[i], m_time.now);
+        m_daemons[peer].view->on_daemon_announced(m_records[i], m_time.now);
         await_referral(i, peer);
     }
 
@@ -333,7 +333,7 @@
                   [this, i, reader, answer = std::move(answer), requested_at] {
                       DirectoryView& requester = *m_daemons[i].view;
                       requester.receive_generation(answer.generation, m_time.now);
-                      requester.take_answer(answer, requested_at, m_time.now);
+                      requester.apply_answer(answer, requested_at, m_time.now);
                       m_daemons[i].querying = false;
                       --m_open_requests[reader];
                   });
--- a/src/libcypressford/upstream.cpp
+++ b/src/libcypressford/upstream.cpp
@@ -62,7 +62,7 @@
     const int own = in_flight.load(std::memory_order_relaxed);
     // Queued calls wait for the same slots, whichever daemon sent them.
     const int all = report.in_flight + report.queued;
-    others.store(std::max(0, all - own), std::memory_order_relaxed);
+    others_in_flight.store(std::max(0, all - own), std::memory_order_relaxed);
     queued.store(report.queued, std::memory_order_relaxed);
     reported_at.store(at, std::memory_order_relaxed);
 }
@@ -106,7 +106,7 @@
     AccountSpec spec;
     spec.rate = unbounded;
     spec.burst = unbounded;
-    bundle.nobody = bundle.accounts.size();
+    bundle.anonymous_account = bundle.accounts.size();
     bundle.accounts.push_back({spec, std::make_shared<AccountState>()});
 }
 
@@ -258,11 +258,11 @@
 {
     auto& state = m_upstreams[key_of(address, run)];
     if (!state) {
-        auto said = run.identity.empty()
+        auto self_report = run.identity.empty()
             ? m_reports.make_unregistered(std::hash<std::string> {}(address))
             : m_reports.of(run);
         state = std::make_shared<UpstreamState>(address, hall, run.identity, m_seed,
-                                                run.born, std::move(said));
+                                                run.born, std::move(self_report));
         state->evacuated.store(is_evacuated(hall), std::memory_order_relaxed);
     }
     return state;
--- a/src/libcypressford/upstream_members.cpp
+++ b/src/libcypressford/upstream_members.cpp
@@ -39,7 +39,7 @@
 UpstreamState::apply_spec(const UpstreamSetSpec& spec)
 {
     cold.set_spec(spec.cold);
-    said->limit().set_has_leader(spec.has_leader());
+    self_report->limit().set_has_leader(spec.has_leader());
 }
 
 void
@@ -58,7 +58,7 @@
     if (member.leaving)
         state->mark_leaving();
     state->apply_spec(set.spec);
-    state->cold.note(member.cold_until);
+    state->cold.mark_cold_until(member.cold_until);
     Upstreams& side = member.hall == m_hall ? set.own : set.remote;
     side.insert(position_of(side, member.identity), std::move(state));
     set.revision = m_generation;
--- a/src/libserve/directory/directory_feed_server.cpp
+++ b/src/libserve/directory/directory_feed_server.cpp
@@ -61,8 +61,8 @@
     if (m_on_generation)
         m_on_generation(query->generation);
     if (query->joiner)
-        m_view.meet(*query->joiner, monotonic_us());
-    for (const std::string& address : query->lost)
+        m_view.on_daemon_announced(*query->joiner, monotonic_us());
+    for (const std::string& address : query->unreachable)
         if (m_on_unreachable_reported)
             m_on_unreachable_reported(address);
     const Micros requested_at = monotonic_us();
--- a/src/libserve/directory/directory_watch.cpp
+++ b/src/libserve/directory/directory_watch.cpp
@@ -43,8 +43,8 @@
     , m_store(io, kernel)
     , m_peer_client(io)
     , m_view(m_store.dialect(),
-             DirectoryPace(kernel.settings.max_change_delay,
-                           kernel.settings.directory_heartbeat),
+             DirectoryTiming(kernel.settings.max_change_delay,
+                             kernel.settings.directory_heartbeat),
              kernel.settings.removal_grace_period, kernel.settings.node,
              kernel.settings.hall, kernel.settings.directory_writes, monotonic_us())
     , m_publish_timer(io)
@@ -195,8 +195,9 @@
             continue;
         }
         const std::optional<DaemonRecord> reader = source().daemon;
-        const bool reader_missed = reader && !view.overdue && !is_reader_busy();
-        view.overdue = false;
+        const bool reader_missed
+            = reader && !view.reader_lacks_records && !is_reader_busy();
+        view.reader_lacks_records = false;
         Result<void> done;
         if (view.next)
             done = co_await read(topic);
@@ -242,7 +243,7 @@
         after = page->records.back().key;
     }
     m_view.end_listing(topic, *end, requested_at, monotonic_us());
-    process_change({.news = true, .unread = {}});
+    process_change({.must_notify = true, .invalid = {}});
     co_return Result<void> {};
 }
 
@@ -296,7 +297,7 @@
 DirectoryWatch::process_answer(const FeedAnswer& answer, Micros requested_at)
 {
     const Micros now = monotonic_us();
-    const DirectoryChange change = m_view.take_answer(answer, requested_at, now);
+    const DirectoryChange change = m_view.apply_answer(answer, requested_at, now);
     m_decode_us = monotonic_us() - now;
     process_change(change);
 }
@@ -309,21 +310,21 @@
     m_kernel.invalid_records.fetch_add(1, std::memory_order_relaxed);
     if (m_invalid_logged.size() >= kMaxInvalidLogged)
         m_invalid_logged.clear();
-    if (!m_invalid_logged.emplace(record.topic, record.key, record.why).second)
+    if (!m_invalid_logged.emplace(record.topic, record.key, record.reason).second)
         return;
     LogEvent("record_unread", LogLevel::Warn)
         .kv("topic", to_string(record.topic))
         .kv("key", record.key)
-        .kv("why", record.why);
+        .kv("why", record.reason);
 }
 
 /// Processes a change of the view, from the directory or from the reader.
 void
 DirectoryWatch::process_change(const DirectoryChange& change)
 {
-    for (const InvalidRecord& record : change.unread)
+    for (const InvalidRecord& record : change.invalid)
         log_invalid_record(record);
-    if (change.news)
+    if (change.must_notify)
         m_feed.wake_held_queries();
     // A read of the daemons' records without changes is passed on, too, because a daemon
     // that has written no record may have become unresponsive.
@@ -331,10 +332,9 @@
     if (m_on_daemons && read_at > m_daemons_passed_at)
         m_on_daemons(m_view.take_new_daemons());
     m_daemons_passed_at = read_at;
-    m_kernel.directory_known_at.store(
-        std::min(m_view.of(DirectoryTopic::Configuration).as_of,
-                 m_view.of(DirectoryTopic::Upstreams).as_of),
-        std::memory_order_relaxed);
+    m_kernel.directory_as_of.store(std::min(m_view.of(DirectoryTopic::Configuration).as_of,
+                                            m_view.of(DirectoryTopic::Upstreams).as_of),
+                                   std::memory_order_relaxed);
     bring_into_force();
     bring_suspects_into_force();
     if (m_on_suspects_lost && m_view.suspects().has_lost())
--- a/src/libserve/directory/directory_watch.h
+++ b/src/libserve/directory/directory_watch.h
@@ -137,7 +137,7 @@
     /// The log was restored from an older copy: lists again, and rewrites what the log may
     /// have lost.
     void recover_from_restore(std::string_view reported_by);
-    boost::asio::awaitable<void> restore_trust_later(std::string peers_address);
+    boost::asio::awaitable<void> clear_suspicion_later(std::string peers_address);
     boost::asio::awaitable<void> pause(Micros time);
 
     DirectorySource source() const;
--- a/src/libserve/directory/directory_watch_peers.cpp
+++ b/src/libserve/directory/directory_watch_peers.cpp
@@ -83,7 +83,7 @@
 DirectoryWatch::reader_query() const
 {
     FeedQuery query = m_view.query();
-    query.takes_unreachable = true;
+    query.accepts_unreachable_list = true;
     query.unreachable_revision = m_unreachable_revision;
     return query;
 }
@@ -146,7 +146,7 @@
 {
     const std::vector<std::string> feeds = peer_feed_addresses();
     for (std::size_t next = 0; m_view.must_list(); ++next) {
-        if (!m_view.wants_referral()) {
+        if (!m_view.needs_referral()) {
             co_await pause(kReferralRetryDelay);
             continue;
         }
@@ -203,7 +203,7 @@
     LogEvent("directory_referred")
         .kv("by", feed_address)
         .kv("role", to_string(referral->role))
-        .kv("daemons", referral->ask.size());
+        .kv("daemons", referral->daemons.size());
     for (const DirectoryTopic topic : DirectoryView::kTopics)
         m_topic_timers.at(topic).cancel();
     m_reader_poll_timer.cancel();
@@ -227,7 +227,7 @@
 DirectoryWatch::report_to_reader(DaemonRecord reader, std::string peers_address)
 {
     FeedQuery query;
-    query.lost = {std::move(peers_address)};
+    query.unreachable = {std::move(peers_address)};
     CallOptions options = feed_call(kConnectTimeout, kReaderResponseTimeout);
     // query_feed() logs a failure; the next failure of the peer is reported again.
     (void)co_await query_feed(reader.feed_address, reader.node, std::move(query),
--- a/src/libserve/directory/directory_watch_reader.cpp
+++ b/src/libserve/directory/directory_watch_reader.cpp
@@ -66,12 +66,12 @@
         if (answer->unreachable)
             apply_unreachable_list(*answer->unreachable);
         const Micros age = monotonic_us() - m_view.of(DirectoryTopic::Configuration).as_of;
-        if (!m_platform_reachable && age < m_view.pace().stale_after)
+        if (!m_platform_reachable && age < m_view.timing().stale_after)
             record_contact(true);
         bool complete = true;
         for (const DirectoryTopic topic : DirectoryView::kTopics) {
-            complete = complete && !m_view.of(topic).overdue;
-            if (m_view.of(topic).overdue)
+            complete = complete && !m_view.of(topic).reader_lacks_records;
+            if (m_view.of(topic).reader_lacks_records)
                 m_topic_timers.at(topic).cancel();
         }
         if (!complete)
@@ -118,11 +118,11 @@
             (now - m_view.of(DirectoryTopic::Configuration).as_of) / kMillisecond)
         .kv("upstreams_age_ms",
             (now - m_view.of(DirectoryTopic::Upstreams).as_of) / kMillisecond);
-    asio::co_spawn(m_io, restore_trust_later(reader.peers_address), asio::detached);
+    asio::co_spawn(m_io, clear_suspicion_later(reader.peers_address), asio::detached);
 }
 
 asio::awaitable<void>
-DirectoryWatch::restore_trust_later(std::string peers_address)
+DirectoryWatch::clear_suspicion_later(std::string peers_address)
 {
     co_await pause(m_view.must_list() ? kReaderSuspicionTimeAtStart : kReaderSuspicionTime);
     m_view.daemons().trust(peers_address);
--- a/src/libserve/entry/worker.cpp
+++ b/src/libserve/entry/worker.cpp
@@ -168,7 +168,7 @@
     claim.fingerprint = fast_hash(context->pipeline + "\n" + context->body);
     claim.key_time = context->key_time;
     claim.deadline = action.deadline;
-    m_kernel.claims->want(std::move(claim), [this](DecideClaim decision) {
+    m_kernel.claims->request_claim(std::move(claim), [this](DecideClaim decision) {
         asio::post(m_io, [this, decision = std::move(decision)]() mutable {
             on_claim_decided(std::move(decision));
         });
@@ -195,7 +195,7 @@
         ended.answer = RecordedAnswer {
             "application/json",
             boost::json::serialize(boost::json::object {{"output", context->input}})};
-    m_kernel.claims->over(std::move(ended));
+    m_kernel.claims->end_request(std::move(ended));
 }
 
 void
@@ -213,7 +213,7 @@
     request.target_by = action.target_by;
     request.near = action.near;
     request.follows_prompt = action.follows_prompt;
-    request.again = action.again;
+    request.is_retry = action.is_retry;
     request.halls = context->spec.halls;
     if (context->spec.asks_leader) {
         const CallerCall& call = context->relay->call;
@@ -223,13 +223,13 @@
         request.prompt.tokens = call.tokens_in;
         request.prompt.affinity = context->spec.affinity;
     }
-    m_kernel.pieces->want(action.request, std::move(request),
-                          [this, id = action.request](PiecesResult result) {
-                              asio::post(m_io,
-                                         [this, id, result = std::move(result)]() mutable {
-                                             on_pieces_result(id, std::move(result));
-                                         });
-                          });
+    m_kernel.pieces->submit(action.request, std::move(request),
+                            [this, id = action.request](PiecesResult result) {
+                                asio::post(
+                                    m_io, [this, id, result = std::move(result)]() mutable {
+                                        on_pieces_result(id, std::move(result));
+                                    });
+                            });
 }
 
 void
--- a/src/libserve/entry/worker.h
+++ b/src/libserve/entry/worker.h
@@ -44,7 +44,7 @@
         = 0; ///< from sending the last attempt to the first byte of its stream
     /// From the request's arrival to the first event sent to the caller; 0: none.
     Micros time_to_first_event = 0;
-    std::string unsent; ///< complete events not yet sent to the caller
+    std::string unsent_events; ///< complete events not yet sent to the caller
 };
 
 /// Data of a request for its worker only; the scheduler does not use these data.
--- a/src/libserve/hall/claim_service.cpp
+++ b/src/libserve/hall/claim_service.cpp
@@ -47,7 +47,7 @@
 }
 
 void
-ClaimService::want(ClaimRequested wanted, OnDecided decided)
+ClaimService::request_claim(ClaimRequested wanted, OnDecided decided)
 {
     asio::post(m_io,
                [this, wanted = std::move(wanted), decided = std::move(decided)]() mutable {
@@ -57,11 +57,11 @@
 }
 
 void
-ClaimService::over(ClaimRequestEnded over)
+ClaimService::end_request(ClaimRequestEnded ended)
 {
-    asio::post(m_io, [this, over = std::move(over)] {
-        handle(over);
-        m_pending.erase(over.request);
+    asio::post(m_io, [this, ended = std::move(ended)] {
+        handle(ended);
+        m_pending.erase(ended.request);
     });
 }
 
@@ -89,7 +89,7 @@
     ClaimActions actions;
     const Micros now = monotonic_us();
     m_claimer.handle(event, {now, wall_ms()}, actions);
-    m_kernel.log_out.store(m_claimer.log_unavailable(now));
+    m_kernel.log_is_unavailable.store(m_claimer.log_unavailable(now));
     for (ClaimAction& action : actions) {
         if (auto* start = std::get_if<StartAppend>(&action)) {
             asio::co_spawn(m_io, append(std::move(start->batch)), asio::detached);
--- a/src/libserve/hall/claim_service.h
+++ b/src/libserve/hall/claim_service.h
@@ -30,8 +30,8 @@
     void start();
 
     /// Requests a claim; `decided` is called on the control thread.
-    void want(ClaimRequested wanted, OnDecided decided);
-    void over(ClaimRequestEnded over);
+    void request_claim(ClaimRequested wanted, OnDecided decided);
+    void end_request(ClaimRequestEnded ended);
 
     /// True if the log holds a claim for the key that was not released.
     boost::asio::awaitable<bool> is_claimed(std::string key);
--- a/src/libserve/hall/hall_service.cpp
+++ b/src/libserve/hall/hall_service.cpp
@@ -150,14 +150,14 @@
 HallService::gossip_once()
 {
     const Micros now = monotonic_us();
-    m_membership.beat(now);
+    m_membership.advance_heartbeat(now);
     m_kernel.daemons_in_hall.store(m_membership.serving_count(now));
     m_bundles.set_reader(m_membership.is_chosen("bundles", kLogReaders, now));
     update_shares(now);
     m_watch.propagate_leaving_marks();
     // The targets are known members and, from time to time, a peer from the settings, so
     // that the parts of a partitioned hall are joined again.
-    std::vector<std::string> targets = m_membership.others(now);
+    std::vector<std::string> targets = m_membership.other_members(now);
     std::shuffle(targets.begin(), targets.end(), m_random);
     if (targets.size() > kGossipFanOut)
         targets.resize(kGossipFanOut);
@@ -188,7 +188,7 @@
         return;
     std::set<std::string> targets(m_kernel.settings.peers.begin(),
                                   m_kernel.settings.peers.end());
-    for (const std::string& address : m_membership.others(monotonic_us()))
+    for (const std::string& address : m_membership.other_members(monotonic_us()))
         targets.insert(address);
     for (const std::string& address : targets)
         exchange_with(address);
@@ -284,7 +284,7 @@
     const Micros now = monotonic_us();
     HybridClock::instance().observe(state.clock());
     for (const proto::Member& member : state.members())
-        m_membership.hear(member_from(member), now);
+        m_membership.on_member_info(member_from(member), now);
     if (!state.bundle_snapshot().empty())
         m_bundles.adopt(state.bundle_snapshot());
     else if (!is_answer && state.bundle_next() > m_bundles.fold().next())
--- a/src/libserve/kernel.cpp
+++ b/src/libserve/kernel.cpp
@@ -32,9 +32,9 @@
     const Micros resumed_at = last_resumed_at.load(std::memory_order_relaxed);
     if (now - resumed_at > kCatchUpLimit || !settings.uses_directory)
         return false;
-    const Micros known_at = directory_known_at.load(std::memory_order_relaxed);
+    const Micros as_of = directory_as_of.load(std::memory_order_relaxed);
     // State younger than the bound for changes is as fresh as without a suspension.
-    return known_at < resumed_at - settings.max_change_delay;
+    return as_of < resumed_at - settings.max_change_delay;
 }
 
 Kernel::Kernel(Settings settings_)
--- a/src/libserve/kernel.h
+++ b/src/libserve/kernel.h
@@ -58,14 +58,14 @@
     /// lies far in the past.
     std::atomic<Micros> last_resumed_at {-3600 * kSecond};
     /// Changes of configuration and upstreams in the directory up to this time were read.
-    std::atomic<Micros> directory_known_at {0};
+    std::atomic<Micros> directory_as_of {0};
     /// May be called from any thread; may be empty.
     std::function<void()> on_suspension_detected;
     /// Called with the address of a daemon that did not answer.  May be called from any
     /// thread; may be empty.
     std::function<void(std::string)> on_peer_unreachable;
     std::atomic<bool> holds_placement {false}; ///< this daemon places models for the hall
-    std::atomic<bool> log_out {false}; ///< the log is unavailable for appends
+    std::atomic<bool> log_is_unavailable {false}; ///< the log is unavailable for appends
 
     ClaimService* claims = nullptr;
     PieceService* pieces = nullptr; ///< null: no relayed pipelines
--- a/src/libserve/operator/operator_pages.cpp
+++ b/src/libserve/operator/operator_pages.cpp
@@ -64,7 +64,7 @@
         {"cypressford_placement_holder", "1 while this daemon places models.",
          kernel.holds_placement.load() ? 1.0 : 0.0},
         {"cypressford_log_out", "1 while the log takes no appends.",
-         kernel.log_out.load() ? 1.0 : 0.0}};
+         kernel.log_is_unavailable.load() ? 1.0 : 0.0}};
     HttpResponse response = text_response(200, render_metrics(total, gauges));
     response.content_type = "text/plain; version=0.0.4";
     co_await exchange.respond(std::move(response));
--- a/src/libserve/peers/peer_watch.cpp
+++ b/src/libserve/peers/peer_watch.cpp
@@ -47,7 +47,7 @@
 }
 
 void
-PeerWatch::take(const std::vector<DaemonRecord>& records)
+PeerWatch::apply_records(const std::vector<DaemonRecord>& records)
 {
     const Micros now = monotonic_us();
     for (const DaemonRecord& record : records)
--- a/src/libserve/peers/peer_watch.h
+++ b/src/libserve/peers/peer_watch.h
@@ -25,7 +25,7 @@
     PeerWatch(boost::asio::io_context& io, Kernel& kernel, PeerLink& link);
 
     /// Applies records that were read from the directory.
-    void take(const std::vector<DaemonRecord>& records);
+    void apply_records(const std::vector<DaemonRecord>& records);
 
     /// Address of the daemon that leads the set; empty for this daemon itself.
     std::string leader_of(std::string_view set_name) const
--- a/src/libserve/pieces/piece_job.cpp
+++ b/src/libserve/pieces/piece_job.cpp
@@ -60,7 +60,7 @@
         for (const auto& upstream : *side) {
             // Limits are reported separately: the leader checks the sum over all daemons.
             const bool can_use
-                = is_in_service(*upstream, now) && !upstream->said->rests(now);
+                = is_in_service(*upstream, now) && !upstream->self_report->in_backoff(now);
             if (!can_use && identities.size() < most)
                 identities.push_back(upstream->identity);
         }
@@ -74,9 +74,9 @@
 }
 
 void
-PieceJob::receive_limit_reports(const LimitReports& words, Micros now) const
+PieceJob::receive_limit_reports(const LimitReports& reports, Micros now) const
 {
-    cypressford::receive_limit_reports(reader_set(), words, now);
+    cypressford::receive_limit_reports(reader_set(), reports, now);
 }
 
 PieceOrder
@@ -86,7 +86,7 @@
     order.upstream_set = set_of(stage).spec.name;
     order.priority = wanted.priority;
     order.near = std::move(hall);
-    order.is_retry = wanted.again;
+    order.is_retry = wanted.is_retry;
     order.halls = wanted.halls;
     order.result_bytes = resolved().spec.piece_stages[stage].result_bytes;
     order.due_left = wanted.target_by
--- a/src/libserve/pieces/piece_job.h
+++ b/src/libserve/pieces/piece_job.h
@@ -21,7 +21,7 @@
 
 namespace cypressford {
 
-/// Parameters of PieceService::want(): the pieces that one request needs.
+/// Parameters of PieceService::submit(): the pieces that one request needs.
 struct PiecesRequest {
     SnapshotPtr snapshot;
     std::size_t pipeline = 0;
@@ -37,7 +37,7 @@
     std::string reader_set; ///< the set whose leader chooses an upstream; empty: none
     PromptQuery prompt;
     HallLimit halls; ///< the only halls where pieces are made and the prompt is read
-    bool again = false; ///< the pieces were made before, so each counts as a retry
+    bool is_retry = false; ///< the pieces were made before, so each counts as a retry
 };
 
 /// A result with the set that it belongs to.
@@ -92,7 +92,7 @@
     /// Limit reports of engines that this daemon has received.
     LimitReports limit_reports(Micros now) const;
     /// Takes over limit reports from the leader.
-    void receive_limit_reports(const LimitReports& words, Micros now) const;
+    void receive_limit_reports(const LimitReports& reports, Micros now) const;
 
     /// The order for a stage; its `due_left` is still a point in time, not a duration.
     PieceOrder order_for(std::size_t stage, std::string near) const;
--- a/src/libserve/pieces/piece_maker.cpp
+++ b/src/libserve/pieces/piece_maker.cpp
@@ -287,10 +287,11 @@
     sent.left_waiting = set_queue_of(set_name).queue.size();
     sent.memory_left = free_bytes(set, call);
     CallOptions options = options_of(set, call, sent.at);
-    UpstreamAnswer said;
+    UpstreamAnswer upstream_answer;
     options.on_answer = [&](const HttpResponse& head, Micros connected) {
-        said = m_kernel.calls->read_answer(head);
-        hear(*call.upstream, said, {sent.at, connected, "pieces"});
+        upstream_answer = m_kernel.calls->read_answer(head);
+        record_upstream_report(*call.upstream, upstream_answer,
+                               {sent.at, connected, "pieces"});
     };
     const CallResult result = co_await m_client.call(
         call.upstream->address,
@@ -301,7 +302,7 @@
     if (results.size() == call.pieces.size())
         settle_call(set, call, results, sent.memory_left);
     else
-        settle_failed_call(set_name, call, result.status, said);
+        settle_failed_call(set_name, call, result.status, upstream_answer);
     dispatch(set_name);
 }
 
@@ -349,14 +350,14 @@
 /// Handles a call for which not every piece has an answer.
 void
 PieceMaker::settle_failed_call(const std::string& set_name, const PieceCall& call,
-                               CallStatus status, const UpstreamAnswer& said)
+                               CallStatus status, const UpstreamAnswer& upstream_answer)
 {
     PieceQueue& queue = set_queue_of(set_name).queue;
     const Micros now = monotonic_us();
     const bool answered = status == CallStatus::Answered;
-    if (answered && said.identity_mismatch)
+    if (answered && upstream_answer.identity_mismatch)
         call.upstream->mark_leaving();
-    else if (answered && said.not_run)
+    else if (answered && upstream_answer.not_run)
         queue.back_off(*call.upstream, now + kBackOffWhenFull);
     else if (status != CallStatus::Withheld)
         queue.record_failure(*call.upstream, now);
--- a/src/libserve/pieces/piece_maker.h
+++ b/src/libserve/pieces/piece_maker.h
@@ -97,7 +97,7 @@
     void settle_call(const UpstreamSet& set, const PieceCall& call,
                      const std::vector<PieceResult>& results, std::int64_t memory_left);
     void settle_failed_call(const std::string& set_name, const PieceCall& call,
-                            CallStatus status, const UpstreamAnswer& said);
+                            CallStatus status, const UpstreamAnswer& upstream_answer);
     void settle(const std::string& set_name, PieceId id, const PieceResult& result);
     /// `arrived`: the last call may have reached an upstream; `last`: its outcome.
     void requeue(const std::string& set_name, PieceId id, bool arrived, PieceOutcome last);
--- a/src/libserve/pieces/piece_service.cpp
+++ b/src/libserve/pieces/piece_service.cpp
@@ -52,7 +52,8 @@
 void
 PieceService::set_daemons(std::vector<DaemonRecord> records)
 {
-    asio::post(m_io, [this, records = std::move(records)] { m_peers.take(records); });
+    asio::post(m_io,
+               [this, records = std::move(records)] { m_peers.apply_records(records); });
 }
 
 void
@@ -64,7 +65,7 @@
 }
 
 void
-PieceService::want(std::uint64_t request, PiecesRequest wanted, Done done)
+PieceService::submit(std::uint64_t request, PiecesRequest wanted, Done done)
 {
     asio::post(
         m_io,
@@ -301,7 +302,8 @@
 {
     for (std::size_t at = 0; at < job.resolved().piece_sets.size(); ++at)
         if (job.set_of(at).spec.name == set_name)
-            job.set_of(at).load->tell(job.wanted.priority, wait, monotonic_us());
+            job.set_of(at).load->set_expected_wait(job.wanted.priority, wait,
+                                                   monotonic_us());
 }
 
 // ----------------------------------------------------------------- releases
--- a/src/libserve/pieces/piece_service.h
+++ b/src/libserve/pieces/piece_service.h
@@ -37,7 +37,7 @@
     /// Binds the address for other daemons.
     Result<void> listen(const std::string& address) { return m_leader.listen(address); }
 
-    void want(std::uint64_t request, PiecesRequest wanted, Done done);
+    void submit(std::uint64_t request, PiecesRequest wanted, Done done);
     void cancel(std::uint64_t request);
     /// Releases results that have no remaining reader.
     void free_results(std::vector<PieceHandle> results);
--- a/src/libserve/pieces/result_keepers.cpp
+++ b/src/libserve/pieces/result_keepers.cpp
@@ -89,7 +89,7 @@
     for (;;) {
         const Micros now = monotonic_us();
         const Micros opens = unavailable_until(*holder, RatePart::Granted);
-        if (opens <= now && holder->said->limit().take(RatePart::Granted, now))
+        if (opens <= now && holder->self_report->limit().take(RatePart::Granted, now))
             co_return;
         BootTimer timer(m_io);
         timer.expires_after(
@@ -111,8 +111,8 @@
     options.send_clock = false;
     options.on_answer = [&](const HttpResponse& head, Micros connected) {
         if (upstream)
-            hear(*upstream, m_kernel.calls->read_answer(head),
-                 {sent, connected, "release"});
+            record_upstream_report(*upstream, m_kernel.calls->read_answer(head),
+                                   {sent, connected, "release"});
     };
     const CallResult result = co_await m_client.call(
         holder, m_kernel.calls->free_results(releases.handles), std::move(options));
--- a/src/libserve/pieces/set_leader.cpp
+++ b/src/libserve/pieces/set_leader.cpp
@@ -119,13 +119,13 @@
             return answer;
         answer.identity = upstream->identity;
         answer.hall = upstream->hall;
-        answer.is_counted = query.prompt.reserve && upstream->said->limit().is_set();
+        answer.is_counted = query.prompt.reserve && upstream->self_report->limit().is_set();
         if (query.prompt.reserve)
             LogEvent("prompt_placed")
                 .kv("request", query.prompt.attempt)
                 .kv("set", query.upstream_set)
                 .kv("identity", upstream->identity)
-                .kv("limit_per_s", upstream->said->limit().per_s())
+                .kv("limit_per_s", upstream->self_report->limit().per_s())
                 .kv("tokens", query.prompt.tokens)
                 .kv("unread", placer.last_read().unread)
                 .kv("again", placer.last_read().reread);
--- a/src/libserve/relay/attempt.cpp
+++ b/src/libserve/relay/attempt.cpp
@@ -108,7 +108,7 @@
         .kv("identity", send.upstream->identity)
         .kv("may_repeat", send.may_repeat)
         .kv("cold", send.upstream->cold.is_cold(started))
-        .kv("limit_per_s", send.upstream->said->limit().per_s())
+        .kv("limit_per_s", send.upstream->self_report->limit().per_s())
         .kv("counted_by_leader", send.count == CallCount::Counted)
         .kv("left_us", send.deadline - started)
         .kv("status", to_string(status))
--- a/src/libserve/relay/relay.cpp
+++ b/src/libserve/relay/relay.cpp
@@ -97,7 +97,7 @@
     }
     // If no accounts are configured, there are no credentials to require.
     if (spec.anonymous || snapshot.bundle->accounts.size() == 1)
-        return snapshot.bundle->nobody;
+        return snapshot.bundle->anonymous_account;
     return fail(ErrorKind::Unauthorized);
 }
 
@@ -238,8 +238,8 @@
 {
     Relay& relay = *context->relay;
     bool begun = false;
-    while (!context->reply || !relay.unsent.empty()) {
-        if (relay.unsent.empty()) {
+    while (!context->reply || !relay.unsent_events.empty()) {
+        if (relay.unsent_events.empty()) {
             co_await context->changed.async_wait(kToTuple);
         } else if (!co_await write_events(exchange, relay, context->arrived, begun)) {
             context->caller_disconnected = true;
@@ -275,7 +275,7 @@
         co_return false;
     if (relay.time_to_first_event == 0)
         relay.time_to_first_event = monotonic_us() - arrived;
-    const std::string text = std::exchange(relay.unsent, {});
+    const std::string text = std::exchange(relay.unsent_events, {});
     co_return co_await exchange.write(text);
 }
 
@@ -361,10 +361,10 @@
     // breaks off after the head.
     options.on_answer = [this, &call](const HttpResponse& head, Micros connected) {
         call.answer = m_kernel.calls->read_answer(head);
-        hear(*call.send.upstream, call.answer,
-             {call.sent_at, connected, call.relay().call.attempt});
+        record_upstream_report(*call.send.upstream, call.answer,
+                               {call.sent_at, connected, call.relay().call.attempt});
     };
-    options.belongs = [this, &call](const HttpResponse& response) {
+    options.accepts_answer = [this, &call](const HttpResponse& response) {
         feed(ResponseStarted {call.send.attempt});
         return call.answer.attempt == call.relay().call.attempt
             || (call.answer.attempt.empty() && !is_success(response.status));
@@ -376,7 +376,7 @@
     options.on_chunk = [&call](std::string_view piece) {
         if (!call.stream_valid || call.handle->cancelled())
             return;
-        call.stream_valid = call.relay().events.feed(piece, call.relay().unsent);
+        call.stream_valid = call.relay().events.feed(piece, call.relay().unsent_events);
         call.context->changed.cancel();
     };
     return options;
--- a/src/libserve/upstream_says.cpp
+++ b/src/libserve/upstream_says.cpp
@@ -9,33 +9,34 @@
 namespace cypressford {
 
 void
-hear(UpstreamState& upstream, const UpstreamAnswer& answer, const AnswerOrigin& origin)
+record_upstream_report(UpstreamState& upstream, const UpstreamAnswer& answer,
+                       const AnswerOrigin& origin)
 {
     const Micros now = monotonic_us();
     const std::int64_t connected_ms = wall_ms() - (now - origin.connected) / kMillisecond;
-    SelfReport& self_report = *upstream.said;
+    SelfReport& self_report = *upstream.self_report;
     const double limit_before = self_report.limit().per_s();
     if (answer.cold_left > 0)
-        upstream.cold.note(now + answer.cold_left);
-    if (answer.leaves)
+        upstream.cold.mark_cold_until(now + answer.cold_left);
+    if (answer.is_leaving)
         self_report.record_leaving(now, connected_ms);
-    if (answer.rest > 0)
-        self_report.note_rest(now + answer.rest, connected_ms);
+    if (answer.backoff > 0)
+        self_report.record_backoff(now + answer.backoff, connected_ms);
     // An unreadable limit shows neither that there is a limit nor that there is none.
     const bool is_readable = answer.limit_per_s || !answer.limit_unreadable;
     const bool limit_changed = is_readable
         && self_report.record_limit(answer.limit_per_s, origin.sent, now, connected_ms);
     const bool is_new_fault
         = answer.limit_unreadable && self_report.record_unreadable_limit();
-    if (!answer.leaves && answer.rest == 0 && !answer.backoff_unreadable && !limit_changed
-        && !is_new_fault)
+    if (!answer.is_leaving && answer.backoff == 0 && !answer.backoff_unreadable
+        && !limit_changed && !is_new_fault)
         return;
     LogEvent("upstream_says")
         .kv("upstream", upstream.address)
         .kv("identity", upstream.identity)
         .kv("born", upstream.born)
-        .kv("leaves", answer.leaves)
-        .kv("rest_us", answer.rest)
+        .kv("leaves", answer.is_leaving)
+        .kv("rest_us", answer.backoff)
         .kv("rest_unread", answer.backoff_unreadable)
         .kv("limit_per_s", self_report.limit().per_s())
         .kv("limit_before", limit_before)
@@ -61,7 +62,7 @@
 {
     LimitReports reports;
     for_each_upstream(set, [&](const UpstreamState& upstream) {
-        const auto report = upstream.said->word(upstream.run(), now);
+        const auto report = upstream.self_report->limit_report(upstream.run(), now);
         if (report && reports.size() < kMaxLimitReports)
             reports.push_back(*report);
     });
@@ -74,9 +75,9 @@
     if (reports.empty())
         return;
     for_each_upstream(set, [&](const UpstreamState& upstream) {
-        for (const LimitWord& report : reports) {
+        for (const LimitReport& report : reports) {
             if (report.run != upstream.run()
-                || !upstream.said->apply_limit_report(report, now))
+                || !upstream.self_report->apply_limit_report(report, now))
                 continue;
             LogEvent("limit_told")
                 .kv("upstream", upstream.address)
@@ -94,8 +95,8 @@
     LimitReports later;
     if (reports.empty())
         return later;
-    for (const LimitWord& own : limit_reports(set, now))
-        for (const LimitWord& report : reports)
+    for (const LimitReport& own : limit_reports(set, now))
+        for (const LimitReport& report : reports)
             if (own.run == report.run && own.per_s != report.per_s)
                 later.push_back(own);
     return later;
--- a/src/libserve/upstream_says.h
+++ b/src/libserve/upstream_says.h
@@ -21,8 +21,8 @@
 };
 
 /// Applies the reports in an upstream's answer to its state.
-void hear(UpstreamState& upstream, const UpstreamAnswer& answer,
-          const AnswerOrigin& origin);
+void record_upstream_report(UpstreamState& upstream, const UpstreamAnswer& answer,
+                            const AnswerOrigin& origin);
 
 /// Reports for other daemons on the limits that upstreams of the set have reported.
 LimitReports limit_reports(const UpstreamSet& set, Micros now);
--- a/src/libutil/http_client.cpp
+++ b/src/libutil/http_client.cpp
@@ -201,7 +201,7 @@
         CallResult result = lost({}, head_of(parser.get()));
         if (options.on_answer)
             options.on_answer(result.response, m_connected_us);
-        if (options.belongs && !options.belongs(result.response))
+        if (options.accepts_answer && !options.accepts_answer(result.response))
             co_return result;
         if (options.on_head && result.response.status == 200)
             options.on_head(result.response);
--- a/src/libutil/http_client.h
+++ b/src/libutil/http_client.h
@@ -98,7 +98,7 @@
     /// established (monotonic microseconds).
     std::function<void(const HttpResponse&, std::int64_t connected_us)> on_answer;
     /// Returns false for an answer that belongs to another call; the call is then lost.
-    std::function<bool(const HttpResponse&)> belongs;
+    std::function<bool(const HttpResponse&)> accepts_answer;
     /// Receives the status and header fields of a 200 before the first chunk of its body.
     std::function<void(const HttpResponse&)> on_head;
     /// Receives the body chunk by chunk if the status is 200; `body` then stays empty.
--- a/testsuite/fuzz/directory_log.h
+++ b/testsuite/fuzz/directory_log.h
@@ -38,9 +38,9 @@
 
 /// Starts or ends the evacuation of a hall.
 inline DirectoryRecord
-evacuation(std::size_t hall, bool begun)
+evacuation(std::size_t hall, bool started)
 {
-    return {"evacuation/" + std::to_string(hall % kHalls), begun ? "{}" : ""};
+    return {"evacuation/" + std::to_string(hall % kHalls), started ? "{}" : ""};
 }
 
 struct WrittenRecord {
--- a/testsuite/fuzz/directory_world.h
+++ b/testsuite/fuzz/directory_world.h
@@ -190,9 +190,9 @@
     void restart_daemon(std::size_t daemon)
     {
         m_daemons[daemon] = {};
-        const DirectoryPace pace(2 * kSecond, 1200 * kMillisecond);
+        const DirectoryTiming timing(2 * kSecond, 1200 * kMillisecond);
         m_daemons[daemon].view = std::make_unique<DirectoryView>(
-            m_dialect, pace, 0, "n" + std::to_string(daemon), "hall", 400, m_now);
+            m_dialect, timing, 0, "n" + std::to_string(daemon), "hall", 400, m_now);
         ++m_incarnations[daemon];
     }
 
@@ -209,8 +209,8 @@
         drop_last(DirectoryTopic::Configuration, a);
         drop_last(DirectoryTopic::Upstreams, b);
         ++m_generation;
-        for (const auto& [hall, begun] : evacuations)
-            append(DirectoryTopic::Configuration, evacuation(std::stoul(hall), begun));
+        for (const auto& [hall, started] : evacuations)
+            append(DirectoryTopic::Configuration, evacuation(std::stoul(hall), started));
         if (m_version > 0)
             append(DirectoryTopic::Configuration, configuration_of(m_version));
         std::set<std::string> listed;
@@ -308,13 +308,13 @@
             m_daemons[daemon].reported_ended.clear();
     }
 
-    void send_query(std::size_t from, std::size_t to, bool wants_signs)
+    void send_query(std::size_t from, std::size_t to, bool wants_keepalives)
     {
         if (from == to)
             return;
         FeedQuery query = m_daemons[from].view->query();
         query.cursors.resize(kTopics);
-        query.wants_signs = wants_signs;
+        query.wants_keepalives = wants_keepalives;
         m_queries.push_back({from, to, m_incarnations[from], query, m_now});
     }
 
@@ -348,7 +348,7 @@
         if (daemon.view->generation() == reply.answer.generation)
             record_ends(daemon, reply.answer);
         const auto answer = decode_feed_answer(encode(reply.answer));
-        daemon.view->take_answer(*answer, reply.sent_query.requested_at, m_now);
+        daemon.view->apply_answer(*answer, reply.sent_query.requested_at, m_now);
     }
 
     static void record_ends(Daemon& daemon, const FeedAnswer& answer)
@@ -476,8 +476,8 @@
         if (!next)
             return;
         std::set<std::string> halls;
-        for (const auto& [hall, begun] : evacuations_before(*next))
-            if (begun)
+        for (const auto& [hall, started] : evacuations_before(*next))
+            if (started)
                 halls.insert(hall);
         const auto known = daemon.view->fold().evacuations().halls();
         RC_ASSERT(std::set<std::string>(known.begin(), known.end()) == halls);
@@ -489,7 +489,7 @@
         std::map<std::string, bool> halls;
         for (Offset at = 0; at < end; ++at)
             if (const auto record = m_dialect.decode_evacuation(configuration_record(at)))
-                halls[record->hall] = record->begun;
+                halls[record->hall] = record->started;
         return halls;
     }
 
--- a/testsuite/fuzz/relay_fuzz.cpp
+++ b/testsuite/fuzz/relay_fuzz.cpp
@@ -80,7 +80,7 @@
         for (int i = 0; i < daemons; ++i) {
             states.push_back(std::make_unique<ColdState>(seed_of(i)));
             states.back()->set_spec({time, per_s});
-            states.back()->note(time);
+            states.back()->mark_cold_until(time);
         }
         std::vector<Micros> sent;
         for (Micros now = 0; now < time; now += gap) {
--- a/testsuite/fuzz/relay_upstreams.cpp
+++ b/testsuite/fuzz/relay_upstreams.cpp
@@ -31,7 +31,7 @@
     if (!state)
         return;
     model.leaves = true;
-    state->said->record_leaving();
+    state->self_report->record_leaving();
 }
 
 void
@@ -44,7 +44,7 @@
     const Micros until
         = m_now + static_cast<Micros>(1 + number / 7 % 30) * 100 * kMillisecond;
     model.backoff_until = std::max(model.backoff_until, until);
-    state->said->note_rest(until);
+    state->self_report->record_backoff(until);
 }
 
 /// The answer to a call that was sent at this time reports a limit, or reports none.
@@ -59,8 +59,8 @@
     const double reported = limits.at(number / 7 % limits.size());
     const double before = model.limit_per_s;
     const bool is_newer = m_now > model.limit_received_at;
-    state->said->record_limit(reported > 0 ? std::optional(reported) : std::nullopt, m_now,
-                              m_now);
+    state->self_report->record_limit(reported > 0 ? std::optional(reported) : std::nullopt,
+                                     m_now, m_now);
     if (reported == 0) {
         model.limit_per_s = is_newer ? 0 : before;
     } else {
@@ -105,9 +105,9 @@
         if (!state)
             continue;
         RC_ASSERT(state->born == model.member.born);
-        RC_ASSERT(state->said->leaves() == model.leaves);
-        RC_ASSERT(state->said->backoff_until() == model.backoff_until);
-        RC_ASSERT(state->said->limit().per_s() == model.limit_per_s);
+        RC_ASSERT(state->self_report->is_leaving() == model.leaves);
+        RC_ASSERT(state->self_report->backoff_until() == model.backoff_until);
+        RC_ASSERT(state->self_report->limit().per_s() == model.limit_per_s);
     }
 }
 
--- a/testsuite/fuzz/relay_world.cpp
+++ b/testsuite/fuzz/relay_world.cpp
@@ -264,7 +264,7 @@
     spec.id = id;
     spec.snapshot = m_snapshot;
     spec.pipeline = model.pipeline;
-    spec.account = m_snapshot->bundle->nobody;
+    spec.account = m_snapshot->bundle->anonymous_account;
     spec.deadline = m_now + kDeadline;
     spec.pieces = model.counts;
     if (number % 4 == 0)
@@ -488,7 +488,7 @@
 {
     RequestModel& model = m_requests.at(action.request);
     RC_ASSERT(!model.preparation);
-    RC_ASSERT(action.again == (model.preparations > 0));
+    RC_ASSERT(action.is_retry == (model.preparations > 0));
     // A second set of results is made only if the first can't be used.
     for (const std::string& input : model.inputs)
         RC_ASSERT(m_pieces.at(input).released || m_pieces.at(input).lost
