--- a/src/libutil/boot_clock.h
+++ b/src/libutil/boot_clock.h
@@ -4,8 +4,9 @@
 /// \file
 /// A clock that includes the time during which the node is suspended.
 ///
-/// std::chrono::steady_clock stops during suspension: after a minute of suspension, the
-/// time left of a lease or deadline and the age of a value would be the same as before it.
+/// The standard library's steady clock stops during suspension: after a minute of
+/// suspension, the time left of a lease or deadline and the age of a value would be the
+/// same as before it.
 
 #pragma once
 
